--- a/agatelane-core/src/main/java/io/agatelane/core/model/ConfigSnapshot.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/model/ConfigSnapshot.java
@@ -27,7 +27,7 @@
         this.policies = Map.copyOf(builder.policies);
         this.services = Map.copyOf(builder.services);
         this.upstreams = Map.copyOf(builder.upstreams);
-        index();
+        buildIndexes();
     }
 
     /** Returns an empty configuration at revision 0. */
@@ -64,12 +64,12 @@
         return Optional.ofNullable(upstreams.get(name));
     }
 
-    /** Engines configured for a model, in name order. */
+    /** Returns the engines that are configured for a model, in name order. */
     public List<Upstream> upstreamsOfModel(String model) {
         return upstreamsByModel.getOrDefault(model, List.of());
     }
 
-    /** Instances of a plain service, in name order. */
+    /** Returns the instances of a plain service, in name order. */
     public List<Upstream> upstreamsOfService(String service) {
         return upstreamsByService.getOrDefault(service, List.of());
     }
@@ -90,14 +90,14 @@
         return upstreams.values();
     }
 
-    /** The client account's policy if it names one, else the model's, else the default. */
+    /** Returns the client account's policy if it names a configured one, else the model's, else the default. */
     public RoutingPolicy policyFor(ClientAccount account, Model model) {
         return Optional.ofNullable(policies.get(account.routingPolicy()))
                 .or(() -> Optional.ofNullable(policies.get(model.routingPolicy())))
                 .orElse(RoutingPolicy.DEFAULT);
     }
 
-    private void index() {
+    private void buildIndexes() {
         for (ClientAccount account : accounts.values()) {
             account.apiKeySha256().forEach(digest -> accountsByKeyDigest.put(digest, account));
         }
@@ -121,7 +121,7 @@
         upstreamsByService.replaceAll((service, list) -> List.copyOf(list));
     }
 
-    /** Collects the objects of a snapshot. */
+    /** Collects the objects of a snapshot; an object replaces an earlier one of the same kind and name. */
     public static final class Builder {
         private long revision;
         private final Map<String, ClientAccount> accounts = new HashMap<>();
--- a/agatelane-core/src/main/java/io/agatelane/core/model/Operation.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/model/Operation.java
@@ -1,13 +1,13 @@
 package io.agatelane.core.model;
 
 /**
- * A call of a plain service.
+ * A call that callers may make to a plain service.
  *
- * @param path path below the service's prefix; a trailing {@code *} matches any rest
+ * @param path path below the service's prefix; a trailing {@code *} matches any suffix
  * @param repeatable false when the call may run at most once
  */
 public record Operation(String method, String path, boolean repeatable) {
-    /** Whether a call with this method and path is this operation. */
+    /** Whether this operation covers a call with the given method and path. */
     public boolean matches(String callMethod, String callPath) {
         if (!method.equals(callMethod)) {
             return false;
--- a/agatelane-core/src/main/java/io/agatelane/core/model/RoutingPolicy.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/model/RoutingPolicy.java
@@ -1,13 +1,13 @@
 package io.agatelane.core.model;
 
 /**
- * Limits of routing for a model or a client account.
+ * Routing limits of a model or a client account.
  *
  * @param firstTokenDeadlineMillis requests that cannot get a first token within this time are refused
- * @param longRequestMillis requests with a longer expected service time are long
- * @param longSharePercent largest part of an upstream's slots for long requests
- * @param hedgePercent largest part of requests that may be hedged
- * @param retryPercent largest part of requests that may be retried
+ * @param longRequestMillis requests with a longer expected service time count as long
+ * @param longSharePercent largest percentage of an upstream's slots that long requests may occupy
+ * @param hedgePercent largest percentage of requests that may be hedged
+ * @param retryPercent largest percentage of requests that may be retried
  */
 public record RoutingPolicy(
         String name,
--- a/agatelane-core/src/main/java/io/agatelane/core/model/Service.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/model/Service.java
@@ -4,9 +4,10 @@
 import java.util.Optional;
 
 /**
- * A plain service beside the engines.
+ * A plain service: its calls are forwarded to instances that are not engines.
  *
- * @param statusPath idempotent status call with {@code {key}} for the Idempotency-Key; empty when there is none
+ * @param statusPath path of an idempotent status call, in which {@code {key}} stands for the Idempotency-Key; empty
+ *     when the service has none
  */
 public record Service(
         String name, String pathPrefix, List<Operation> operations, String statusPath, int timeoutMillis) {
--- a/agatelane-core/src/main/java/io/agatelane/core/model/Upstream.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/model/Upstream.java
@@ -6,8 +6,8 @@
  * An engine or an instance of a plain service.
  *
  * @param baseUrl {@code http://IP:PORT}
- * @param models models that an engine runs; empty for a service instance
- * @param service service of an instance; empty for an engine
+ * @param models models that the engine serves; empty for a service instance
+ * @param service plain service that the instance belongs to; empty for an engine
  * @param checksFencing whether the engine refuses orders with an old fencing number
  */
 public record Upstream(
--- a/agatelane-core/src/main/java/io/agatelane/core/model/package-info.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/model/package-info.java
@@ -1,2 +1,2 @@
-/** Immutable configuration values. */
+/** Immutable configuration objects and the snapshot that holds them. */
 package io.agatelane.core.model;
