--- a/agatelane-core/src/main/java/io/agatelane/core/limits/AccountState.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/limits/AccountState.java
@@ -3,62 +3,70 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** One client account on one router: its token bucket, its demand here and the demand at other routers. */
+/** State of a client account on this router: its token bucket, its local demand and its demand at other routers. */
 public final class AccountState {
-    private final Map<String, PeerDemand> peers = new HashMap<>();
+    private final Map<String, PeerDemand> peerDemands = new HashMap<>();
     private double balance;
-    private boolean filled;
-    private long balanceMillis;
+    private boolean initialized;
+    private long balanceUpdatedMillis;
     private double demandTokens;
     private double admittedTokens;
-    private long decayMillis;
+    private long sumsUpdatedMillis;
     private int weight = 1;
 
-    /** Demand at another router, in tokens per second. */
-    public record PeerDemand(long tokensPerSecond, long sequence, long heardMillis) {}
+    /**
+     * Demand of the account at another router.
+     *
+     * @param sequence sequence number of the report; a higher one is newer
+     * @param receivedMillis local time at which the report was received
+     */
+    public record PeerDemand(long tokensPerSecond, long sequence, long receivedMillis) {}
 
-    public Map<String, PeerDemand> peers() {
-        return peers;
+    /** Latest demand reports by the VM name of the router. */
+    public Map<String, PeerDemand> peerDemands() {
+        return peerDemands;
     }
 
-    /** Tokens that may be spent now; negative after work that was longer than expected. */
+    /** Tokens that may be spent now; negative after requests that used more tokens than expected. */
     public double balance() {
         return balance;
     }
 
     public void setBalance(double newBalance, long nowMillis) {
         balance = newBalance;
-        balanceMillis = nowMillis;
-        filled = true;
+        balanceUpdatedMillis = nowMillis;
+        initialized = true;
     }
 
-    /** Whether the bucket was filled for the first time. */
-    public boolean isFilled() {
-        return filled;
+    /** Whether the bucket has got its initial balance. */
+    public boolean isInitialized() {
+        return initialized;
     }
 
-    public long balanceMillis() {
-        return balanceMillis;
+    /** Time at which the balance was last set. */
+    public long balanceUpdatedMillis() {
+        return balanceUpdatedMillis;
     }
 
-    /** Decayed sum of the tokens asked for, including refused ones. */
+    /** Exponentially decayed sum of the requested tokens, refused requests included. */
     public double demandTokens() {
         return demandTokens;
     }
 
-    /** Decayed sum of the tokens admitted. */
+    /** Exponentially decayed sum of the admitted tokens. */
     public double admittedTokens() {
         return admittedTokens;
     }
 
-    public void setDecayed(double demand, double admitted, long nowMillis) {
+    public void setDecayedSums(double demand, double admitted, long nowMillis) {
         demandTokens = demand;
         admittedTokens = admitted;
-        decayMillis = nowMillis;
+        sumsUpdatedMillis = nowMillis;
     }
 
-    public long decayMillis() {
-        return decayMillis;
+    /** Time at which the decayed sums were last updated. */
+    public long sumsUpdatedMillis() {
+        return sumsUpdatedMillis;
     }
 
     public int weight() {
--- a/agatelane-core/src/main/java/io/agatelane/core/limits/AccountTable.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/limits/AccountTable.java
@@ -3,14 +3,14 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** All accounts that were seen on this router. Users of the table hold its lock. */
+/** State of the client accounts with recent requests or demand. Not thread-safe: callers synchronize on the table. */
 public final class AccountTable {
     private final Map<String, AccountState> accounts = new HashMap<>();
     private double activeWeight;
     private double totalAdmitted;
-    private long summedMillis = Long.MIN_VALUE;
+    private long sumsUpdatedMillis = Long.MIN_VALUE;
 
-    /** The state of an account; created when missing. */
+    /** Returns the state of an account, which is created when missing. */
     public AccountState account(String name) {
         return accounts.computeIfAbsent(name, unused -> new AccountState());
     }
@@ -24,19 +24,20 @@
         return activeWeight;
     }
 
-    /** Decayed sum of the tokens admitted for all accounts. */
+    /** Exponentially decayed sum of the tokens admitted for all accounts. */
     public double totalAdmitted() {
         return totalAdmitted;
     }
 
-    public long summedMillis() {
-        return summedMillis;
+    /** Time at which the sums were last computed; {@code Long.MIN_VALUE} before the first time. */
+    public long sumsUpdatedMillis() {
+        return sumsUpdatedMillis;
     }
 
     public void setSums(double newActiveWeight, double newTotalAdmitted, long nowMillis) {
         activeWeight = newActiveWeight;
         totalAdmitted = newTotalAdmitted;
-        summedMillis = nowMillis;
+        sumsUpdatedMillis = nowMillis;
     }
 
     public void addAdmitted(double tokens) {
--- a/agatelane-core/src/main/java/io/agatelane/core/limits/RatioBudget.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/limits/RatioBudget.java
@@ -1,28 +1,28 @@
 package io.agatelane.core.limits;
 
 /**
- * Allows extra attempts up to a percentage of the requests. Thread-safe.
+ * Limits extra attempts (retries or hedges) to a percentage of the requests. Thread-safe.
  *
- * <p>Each request adds its percentage; each extra attempt takes one whole unit.
+ * <p>Each request adds its percentage of one attempt; each extra attempt takes one whole attempt.
  */
 public final class RatioBudget {
-    // Savings are bounded so that a quiet hour does not pay for a storm of extra attempts.
-    private static final double MAX_SAVED = 10;
+    // The unused budget is capped so that a long period without extra attempts does not allow a burst of them later.
+    private static final double MAX_SAVED_ATTEMPTS = 10;
     private static final double PERCENT = 100;
 
-    private double saved = 1;
+    private double savedAttempts = 1;
 
-    /** Adds the share of one request. */
+    /** Adds the budget that one request earns. */
     public synchronized void recordRequest(int percent) {
-        saved = Math.min(MAX_SAVED, saved + percent / PERCENT);
+        savedAttempts = Math.min(MAX_SAVED_ATTEMPTS, savedAttempts + percent / PERCENT);
     }
 
-    /** Takes one extra attempt; false when the budget is used up. */
+    /** Takes one extra attempt from the budget. Returns false when the budget is used up. */
     public synchronized boolean tryTake() {
-        if (saved < 1) {
+        if (savedAttempts < 1) {
             return false;
         }
-        saved -= 1;
+        savedAttempts -= 1;
         return true;
     }
 }
--- a/agatelane-core/src/main/java/io/agatelane/core/limits/command/package-info.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/limits/command/package-info.java
@@ -1,2 +1,2 @@
-/** Changes of the admission state. */
+/** Operations that change the admission state. */
 package io.agatelane.core.limits.command;
--- a/agatelane-core/src/main/java/io/agatelane/core/limits/package-info.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/limits/package-info.java
@@ -1,2 +1,2 @@
-/** State of admission: account limits, fair shares and budgets. */
+/** Admission state: account limits, fair shares and budgets. */
 package io.agatelane.core.limits;
--- a/agatelane-core/src/main/java/io/agatelane/core/limits/query/AdmissionCheck.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/limits/query/AdmissionCheck.java
@@ -4,42 +4,44 @@
 import io.agatelane.core.failure.FailureType;
 import io.agatelane.core.model.RoutingPolicy;
 
-/** Refuses work that cannot start in time. */
+/** Refuses requests whose first token would miss the deadline of their routing policy. */
 public final class AdmissionCheck {
-    // Without requests nothing is observed, so that a refusal must not outlast the queue that was its reason.
-    private static final long SAMPLE_LIFE_MILLIS = 1_000;
-    private static final double MAX_CORRECTION = 20;
+    // While requests are refused nothing new is observed, so an old observation must not prolong the refusals after the
+    // queue that caused them has drained.
+    private static final long MAX_SAMPLE_AGE_MILLIS = 1_000;
+    private static final double MAX_LATENCY_FACTOR = 20;
 
-    private static final long SHORTEST_RETRY_MILLIS = 100;
+    private static final long MIN_RETRY_MILLIS = 100;
 
     private AdmissionCheck() {}
 
-    /** Expected time to first token divided by the deadline; above 1 the request is refused. */
+    /** Returns the expected time to first token divided by the deadline; above 1 the request is refused. */
     public static double pressure(double totalMillis, RoutingPolicy policy) {
         return totalMillis / Math.max(1, policy.firstTokenDeadlineMillis());
     }
 
     /**
-     * Corrects the expected time to first token by what recent requests to the same engine met.
+     * Corrects the expected time to first token by the latency that recent requests to the same engine had.
      *
-     * <p>The expectation knows the prefills that this router has sent, not those of other routers, which wait inside the
-     * engine's slots and are in no load report. At a peak it was too short by a factor of about nine.
+     * <p>The expected time includes the prefills that this router has sent, but not those of other routers, which wait
+     * inside the engine's slots and appear in no load report. At peak load it was too low by a factor of about nine.
      *
-     * @param latencyFactor recent observed over expected time to first token
-     * @param sampleAgeMillis time since the last observation
+     * @param latencyFactor recent ratio of the observed to the expected time to first token
+     * @param sampleAgeMillis time since the latency factor was last observed
      */
     public static double corrected(double totalMillis, double latencyFactor, long sampleAgeMillis) {
-        if (sampleAgeMillis > SAMPLE_LIFE_MILLIS) {
+        if (sampleAgeMillis > MAX_SAMPLE_AGE_MILLIS) {
             return totalMillis;
         }
-        return totalMillis * Math.max(1, Math.min(MAX_CORRECTION, latencyFactor));
+        return totalMillis * Math.max(1, Math.min(MAX_LATENCY_FACTOR, latencyFactor));
     }
 
     /**
      * Checks that the best candidate can deliver the first token before the deadline.
      *
      * @param totalMillis expected time to first token on the best candidate
-     * @throws AgatelaneException with {@code OVERLOADED} and the time that the queue needs to drain to the deadline
+     * @throws AgatelaneException with {@code OVERLOADED} and the time after which the queue has drained enough to meet
+     *     the deadline
      */
     public static void requireInTime(double totalMillis, RoutingPolicy policy) {
         if (pressure(totalMillis, policy) <= 1) {
@@ -48,8 +50,8 @@
         long drainMillis = (long) Math.ceil(totalMillis - policy.firstTokenDeadlineMillis());
         throw new AgatelaneException(
                         FailureType.OVERLOADED,
-                        "a first token is expected after " + Math.round(totalMillis)
+                        "the first token is expected after " + Math.round(totalMillis)
                                 + " ms, later than the deadline of " + policy.firstTokenDeadlineMillis() + " ms")
-                .withRetryAfterMillis(Math.max(SHORTEST_RETRY_MILLIS, drainMillis));
+                .withRetryAfterMillis(Math.max(MIN_RETRY_MILLIS, drainMillis));
     }
 }
--- a/agatelane-core/src/main/java/io/agatelane/core/limits/query/package-info.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/limits/query/package-info.java
@@ -1,2 +1,2 @@
-/** Admission decisions; nothing here changes state. */
+/** Admission decisions. Nothing in this package changes state. */
 package io.agatelane.core.limits.query;
--- a/agatelane-core/src/test/java/io/agatelane/core/limits/AccountLimiterTest.java
+++ b/agatelane-core/src/test/java/io/agatelane/core/limits/AccountLimiterTest.java
@@ -31,8 +31,8 @@
         return new Object[][] {{8, 60_000}, {13_000, 2_000}};
     }
 
-    // Guards against a limit that each router gives out in full. The naive version without gossip is kept as a double:
-    // it admits more than 2.5 times as much. The demand of each account moves between routers every 10 s.
+    // Guards against each router admitting the full limit. Without gossip, which the test runs for comparison, the
+    // routers admit more than 2.5 times the limit. The demand of each account moves between routers every 10 s.
     @Test(dataProvider = "accountCounts")
     public void limitIsSharedByAllRouters(int accounts, int runMillis) {
         long allowed = RATE * runMillis / 1_000 + BURST;
@@ -50,20 +50,20 @@
         }
     }
 
-    // Guards against a large account that crowds out a small one when engines are full. The naive version, kept as a
-    // double, admits in order of arrival.
+    // Guards against a large account that starves a small one when the engines are full. For comparison, a pressure of
+    // 0 admits requests in order of arrival.
     @Test
     public void contentionIsSharedByWeight() {
-        Map<String, Long> naive = contend(0);
-        Map<String, Long> fair = contend(0.9);
+        Map<String, Long> naive = admittedUnderContention(0);
+        Map<String, Long> fair = admittedUnderContention(0.9);
         assertTrue(naive.get("small") < naive.get("large") / 10, naive.toString());
-        // The small account asks for less than half and gets all of it.
+        // The small account requests less than half of the capacity and must get nearly all of its demand.
         assertTrue(fair.get("small") >= 0.9 * 200 * 100, fair.toString());
     }
 
-    // Guards against refusals without the time after which to retry, or with one that is too short.
+    // Guards against refusals without a retry delay, or with one that is too short.
     @Test
-    public void refusalTellsWhenToRetry() {
+    public void refusalHasRetryDelay() {
         AccountLimiter limiter = new AccountLimiter(new AccountTable());
         ClientAccount account = account("a", RATE, BURST);
         limiter.admit(account, BURST, 0, 0);
@@ -74,9 +74,10 @@
         limiter.admit(account, 1_000, 0, retryMillis);
     }
 
-    // Guards against charges that are kept for requests that did not run, and against free work beyond the estimate.
+    // Guards against charges that remain for requests that did not run, and against tokens beyond the estimate that are
+    // not charged.
     @Test
-    public void chargesAreSettled() {
+    public void chargesAreCorrected() {
         AccountLimiter limiter = new AccountLimiter(new AccountTable());
         ClientAccount account = account("a", RATE, BURST);
         limiter.admit(account, BURST, 0, 0);
@@ -100,20 +101,20 @@
         long[] admitted = new long[accounts];
         for (int now = 0; now < runMillis; now += 25) {
             if (gossip && now % GOSSIP_MILLIS == 0) {
-                exchange(routers, now);
+                exchangeDemands(routers, now);
             }
             for (int i = 0; i < accounts; i++) {
-                // Most of the demand is at two routers, which change every 10 s.
+                // Most of the demand is at two routers; which ones changes every 10 s.
                 int busy = i + now / 10_000;
-                int at = random.nextInt(4) == 0 ? random.nextInt(ROUTERS) : (busy + random.nextInt(2)) % ROUTERS;
-                routers.get(at).ask(all.get(i), REQUEST_TOKENS, now);
-                admitted[i] += tryAdmit(routers.get(at), all.get(i), REQUEST_TOKENS, 0, now) ? REQUEST_TOKENS : 0;
+                int router = random.nextInt(4) == 0 ? random.nextInt(ROUTERS) : (busy + random.nextInt(2)) % ROUTERS;
+                routers.get(router).ask(all.get(i), REQUEST_TOKENS, now);
+                admitted[i] += tryAdmit(routers.get(router), all.get(i), REQUEST_TOKENS, 0, now) ? REQUEST_TOKENS : 0;
             }
         }
         return admitted;
     }
 
-    private static void exchange(List<AccountLimiter> routers, long nowMillis) {
+    private static void exchangeDemands(List<AccountLimiter> routers, long nowMillis) {
         for (int from = 0; from < routers.size(); from++) {
             for (AccountLimiter.Demand demand : routers.get(from).demands(nowMillis)) {
                 for (int to = 0; to < routers.size(); to++) {
@@ -126,22 +127,22 @@
         }
     }
 
-    // In each step the large account sends 20 requests and the small one sends 1, in random order; 4 can be taken.
-    private static Map<String, Long> contend(double pressure) {
+    // In each step the large account sends 20 requests and the small one sends 1, in random order; 4 can be admitted.
+    private static Map<String, Long> admittedUnderContention(double pressure) {
         AccountLimiter limiter = new AccountLimiter(new AccountTable());
         ClientAccount large = account("large", 0, 0);
         ClientAccount small = account("small", 0, 0);
         UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(5);
         Map<String, Long> admitted = new HashMap<>(Map.of("large", 0L, "small", 0L));
         for (int step = 0; step < 200; step++) {
-            int free = 4;
+            int freeRequests = 4;
             int smallAt = random.nextInt(21);
             for (int i = 0; i < 21; i++) {
                 ClientAccount account = i == smallAt ? small : large;
                 limiter.ask(account, 100, step * 50L);
-                if (free > 0 && tryAdmit(limiter, account, 100, pressure, step * 50L)) {
+                if (freeRequests > 0 && tryAdmit(limiter, account, 100, pressure, step * 50L)) {
                     admitted.merge(account.name(), 100L, Long::sum);
-                    free--;
+                    freeRequests--;
                 }
             }
         }
--- a/agatelane-core/src/test/java/io/agatelane/core/limits/RatioBudgetTest.java
+++ b/agatelane-core/src/test/java/io/agatelane/core/limits/RatioBudgetTest.java
@@ -5,7 +5,7 @@
 import org.testng.annotations.Test;
 
 public class RatioBudgetTest {
-    // Guards against a storm of extra attempts, for example when every request fails for a while.
+    // Guards against extra attempts that multiply the load, for example while every request fails.
     @Test
     public void extraAttemptsStayWithinThePercentage() {
         RatioBudget budget = new RatioBudget();
