--- a/agatelane-core/src/main/java/io/agatelane/core/poison/SuspectTable.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/poison/SuspectTable.java
@@ -3,9 +3,12 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** Fingerprints with the crashes they were seen at. Bounded; the oldest are dropped. Users hold its lock. */
+/**
+ * Request fingerprints with the engine crashes during which the requests ran. The size is bounded; the oldest entries
+ * are dropped first. Not thread-safe: callers synchronize on the table.
+ */
 public final class SuspectTable {
-    /** Crashes after which a fingerprint is quarantined. */
+    /** Number of crashes from which on a fingerprint is quarantined. */
     public static final int QUARANTINE_CRASHES = 2;
 
     /** How long a fingerprint is remembered after its last crash. */
@@ -25,11 +28,11 @@
     /**
      * Crashes of one fingerprint.
      *
-     * @param localCrashes crashes that this router saw
-     * @param remoteCrashes largest number that another router reported
+     * @param localCrashes crashes that this router observed itself
+     * @param remoteCrashes largest number of crashes that another router reported
      */
     public record Suspect(int localCrashes, int remoteCrashes, long untilMillis) {
-        /** Crashes known in total. Other routers report what they saw themselves, so that the numbers add up. */
+        /** Total of the known crashes. Other routers report only crashes that they observed, so the numbers add up. */
         public int crashes() {
             return localCrashes + remoteCrashes;
         }
--- a/agatelane-core/src/main/java/io/agatelane/core/poison/command/CrashRecorder.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/poison/command/CrashRecorder.java
@@ -3,7 +3,7 @@
 import io.agatelane.core.poison.SuspectTable;
 import io.agatelane.core.poison.SuspectTable.Suspect;
 
-/** Records crashes of engines against the requests that ran on them. Thread-safe. */
+/** Counts engine crashes for the fingerprints of the requests that ran on the engines. Thread-safe. */
 public final class CrashRecorder {
     private final SuspectTable table;
 
@@ -11,7 +11,7 @@
         this.table = table;
     }
 
-    /** Records that a request was running when its engine crashed and returns what is now known. */
+    /** Records that a request was running when its engine crashed, and returns the updated entry. */
     public Suspect crashed(String fingerprint, long nowMillis) {
         synchronized (table) {
             Suspect known = current(fingerprint, nowMillis);
@@ -23,9 +23,10 @@
     }
 
     /**
-     * Takes over what another router saw. A report may come repeatedly.
+     * Merges the number of crashes that another router reported. Repeated reports are counted once.
      *
-     * @return true when this router alone now knows that the fingerprint is to be quarantined, and should tell others
+     * @return true when only the sum with the local crashes reaches the quarantine limit, so that this router must
+     *     announce the quarantine to the others
      */
     public boolean heard(String fingerprint, int crashes, long remainingMillis, long nowMillis) {
         if (remainingMillis <= 0 || crashes <= 0) {
--- a/agatelane-core/src/main/java/io/agatelane/core/poison/command/package-info.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/poison/command/package-info.java
@@ -1,2 +1,2 @@
-/** Records crashes and what other routers saw. */
+/** Records engine crashes that this router observed or that other routers reported. */
 package io.agatelane.core.poison.command;
--- a/agatelane-core/src/main/java/io/agatelane/core/poison/package-info.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/poison/package-info.java
@@ -1,2 +1,2 @@
-/** Fingerprints of requests that were running when engines crashed. */
+/** Detection of requests that crash engines, by the fingerprints of the requests that ran when engines crashed. */
 package io.agatelane.core.poison;
--- a/agatelane-core/src/main/java/io/agatelane/core/poison/query/QuarantineCheck.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/poison/query/QuarantineCheck.java
@@ -3,7 +3,7 @@
 import io.agatelane.core.poison.SuspectTable;
 import io.agatelane.core.poison.SuspectTable.Suspect;
 
-/** Tells whether a fingerprint is a suspect or quarantined. Thread-safe. */
+/** Checks whether a request fingerprint is a suspect or quarantined. Thread-safe. */
 public final class QuarantineCheck {
     private final SuspectTable table;
 
@@ -11,7 +11,7 @@
         this.table = table;
     }
 
-    /** Crashes that the fingerprint was seen at within the quarantine time. */
+    /** Returns the number of engine crashes recorded for the fingerprint, or 0 when its entry has expired. */
     public int crashes(String fingerprint, long nowMillis) {
         synchronized (table) {
             Suspect suspect = table.suspects().get(fingerprint);
@@ -19,10 +19,12 @@
         }
     }
 
+    /** Whether a request with this fingerprint was running at a crash. */
     public boolean isSuspect(String fingerprint, long nowMillis) {
         return crashes(fingerprint, nowMillis) > 0;
     }
 
+    /** Whether enough crashes are recorded that requests with this fingerprint must not run. */
     public boolean isQuarantined(String fingerprint, long nowMillis) {
         return crashes(fingerprint, nowMillis) >= SuspectTable.QUARANTINE_CRASHES;
     }
--- a/agatelane-core/src/main/java/io/agatelane/core/poison/query/package-info.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/poison/query/package-info.java
@@ -1,2 +1,2 @@
-/** Tells whether a request may run. */
+/** Checks whether a request is quarantined or a suspect. */
 package io.agatelane.core.poison.query;
--- a/agatelane-core/src/test/java/io/agatelane/core/poison/SuspectTest.java
+++ b/agatelane-core/src/test/java/io/agatelane/core/poison/QuarantineTest.java
@@ -8,12 +8,12 @@
 import io.agatelane.core.poison.query.QuarantineCheck;
 import org.testng.annotations.Test;
 
-public class SuspectTest {
+public class QuarantineTest {
     private final SuspectTable table = new SuspectTable();
     private final CrashRecorder recorder = new CrashRecorder(table);
     private final QuarantineCheck check = new QuarantineCheck(table);
 
-    // Guards against a third engine lost to one request, whichever router saw the first two.
+    // Guards against a request that crashes a third engine, whichever routers observed the first two crashes.
     @Test
     public void twoCrashesQuarantine() {
         recorder.crashed("local", 0);
@@ -26,15 +26,15 @@
         assertTrue(check.isQuarantined("split", 11));
     }
 
-    // Guards against repeated gossip that turns one crash into two.
+    // Guards against a repeated report that counts one crash twice.
     @Test
-    public void repeatedGossipCountsOnce() {
+    public void repeatedReportCountsOnce() {
         assertFalse(recorder.heard("x", 1, 600_000, 0));
         assertFalse(recorder.heard("x", 1, 600_000, 1));
         assertEquals(check.crashes("x", 2), 1);
     }
 
-    // Guards against a quarantine that lasts for ever.
+    // Guards against a quarantine that never expires.
     @Test
     public void quarantineEnds() {
         recorder.crashed("y", 0);
