--- a/agatelane-core/src/main/java/io/agatelane/core/membership/Hint.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/membership/Hint.java
@@ -1,22 +1,22 @@
 package io.agatelane.core.membership;
 
-/** A small piece of information that is lost, late or repeated at times. */
+/** A small piece of information with best-effort delivery: it may be lost, delayed or repeated. */
 public interface Hint {
     HintScope scope();
 
-    /** A newer hint replaces an older one of the same scope and key. */
+    /** Identifies what the hint is about; a newer hint replaces an older one of the same scope and key. */
     String key();
 
-    /** Orders hints of the same key that travel through several members. */
+    /** Orders hints of the same key, which may arrive out of order through several members. */
     long sequence();
 
-    /** Upper bound of the encoded size, at most 1,000. */
+    /** Upper bound of the encoded size in bytes, at most 1,000. */
     int sizeBytes();
 
-    /** Time after which the hint has no use. */
+    /** Time after publication at which the hint is of no more use. */
     long lifetimeMillis();
 
-    /** Whether the hint is sent before others when bytes are short. */
+    /** Whether the hint is sent before others when the byte budget is short. */
     default boolean urgent() {
         return false;
     }
--- a/agatelane-core/src/main/java/io/agatelane/core/membership/HintScope.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/membership/HintScope.java
@@ -1,12 +1,12 @@
 package io.agatelane.core.membership;
 
-/** Who receives a hint. */
+/** Which members receive a hint. */
 public enum HintScope {
     AVAILABILITY_ZONE,
     REGION,
     ALL;
 
-    /** Whether a member is within this scope of another one. */
+    /** Whether the member {@code to} receives hints of this scope that {@code from} publishes. */
     public boolean includes(MemberRecord from, MemberRecord to) {
         return switch (this) {
             case AVAILABILITY_ZONE -> from.region().equals(to.region())
--- a/agatelane-core/src/main/java/io/agatelane/core/membership/MemberRecord.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/membership/MemberRecord.java
@@ -4,12 +4,12 @@
 import io.agatelane.core.failure.FailureType;
 
 /**
- * What is known of one member.
+ * Identity and state of a member as known locally or as sent in a packet.
  *
- * @param incarnation raised by the member itself at each start and each refutation
- * @param address where the member receives packets; opaque to the protocol
- * @param region members of equal region exchange hints of regional scope
- * @param configRevision revision of the configuration in force there, as last heard
+ * @param incarnation number that only the member itself raises, at each start and each refutation
+ * @param address address at which the member receives packets; opaque to the protocol
+ * @param region members of the same region exchange hints of regional scope
+ * @param configRevision revision of the configuration in force at the member, as last received
  */
 public record MemberRecord(
         String name,
@@ -19,10 +19,10 @@
         String availabilityZone,
         String region,
         long configRevision) {
-    /** Longest name, address, zone or region, so that each record fits into a packet. */
+    /** Largest encoded size of a name, address, zone or region, so that each record fits into a packet. */
     public static final int MAX_TEXT_BYTES = 100;
 
-    /** Larger incarnations are refused, so that a corrupt one cannot exhaust the range. */
+    /** Larger incarnations are refused, so that a corrupt value cannot use up the range. */
     public static final long MAX_INCARNATION = 1L << 62;
 
     public MemberRecord {
@@ -31,7 +31,8 @@
         checkText("availability zone", availabilityZone, true);
         checkText("region", region, true);
         if (incarnation < 0 || incarnation > MAX_INCARNATION) {
-            throw new AgatelaneException(FailureType.INVALID_OBJECT, "incarnation " + incarnation + " is out of range");
+            throw new AgatelaneException(
+                    FailureType.INVALID_OBJECT, "incarnation " + incarnation + " is outside the range 0 to 2^62");
         }
     }
 
@@ -51,28 +52,29 @@
         return new MemberRecord(name, status, incarnation, newAddress, availabilityZone, region, configRevision);
     }
 
-    /** Whether this entry replaces another one about the same member. */
+    /** Whether this record takes precedence over another one about the same member. */
     public boolean supersedes(MemberRecord other) {
         return incarnation > other.incarnation
                 || (incarnation == other.incarnation && status.compareTo(other.status) > 0);
     }
 
-    /** Upper bound of the encoded size. */
+    /** Upper bound of the encoded size in bytes. */
     public int sizeBytes() {
-        return WireSize.NESTED
-                + WireSize.string(name)
-                + WireSize.ENUM
-                + WireSize.number(incarnation)
-                + WireSize.string(address)
-                + WireSize.string(availabilityZone)
-                + WireSize.string(region)
-                + WireSize.number(configRevision);
+        return WireSize.NESTED_HEADER_BYTES
+                + WireSize.stringFieldBytes(name)
+                + WireSize.ENUM_FIELD_BYTES
+                + WireSize.integerFieldBytes(incarnation)
+                + WireSize.stringFieldBytes(address)
+                + WireSize.stringFieldBytes(availabilityZone)
+                + WireSize.stringFieldBytes(region)
+                + WireSize.integerFieldBytes(configRevision);
     }
 
-    private static void checkText(String what, String text, boolean mayBeEmpty) {
-        if ((text.isEmpty() && !mayBeEmpty) || WireSize.string(text) > MAX_TEXT_BYTES) {
+    private static void checkText(String fieldName, String text, boolean mayBeEmpty) {
+        if ((text.isEmpty() && !mayBeEmpty) || WireSize.stringFieldBytes(text) > MAX_TEXT_BYTES) {
             throw new AgatelaneException(
-                    FailureType.INVALID_OBJECT, "the " + what + " of a member is empty or too long: '" + text + "'");
+                    FailureType.INVALID_OBJECT,
+                    "the " + fieldName + " of a member is empty or takes more than 100 bytes encoded: '" + text + "'");
         }
     }
 }
--- a/agatelane-core/src/main/java/io/agatelane/core/membership/MemberStatus.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/membership/MemberStatus.java
@@ -1,14 +1,14 @@
 package io.agatelane.core.membership;
 
-/** State of a member, in order of precedence between entries of the same incarnation. */
+/** State of a member. The order is the precedence between records of the same incarnation, lowest first. */
 public enum MemberStatus {
     ALIVE,
     SUSPECT,
-    /** Announced by the member itself; stands above a suspicion so that a leaving member never looks live again. */
+    /** Announced by the member itself. Overrides a suspicion, so that a leaving member never looks live again. */
     LEAVING,
     DEAD;
 
-    /** Whether the member takes new work. */
+    /** Whether the member accepts new work. */
     public boolean isLive() {
         return this == ALIVE || this == SUSPECT;
     }
--- a/agatelane-core/src/main/java/io/agatelane/core/membership/SwimListener.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/membership/SwimListener.java
@@ -2,19 +2,20 @@
 
 import java.util.Optional;
 
-/** What the protocol asks of its environment; called on the thread that drives the protocol. */
+/** Transport and callbacks of the protocol; called on the thread that drives the protocol. */
 public interface SwimListener {
-    /** Sends a packet; it may be lost. */
+    /** Sends a packet, without guarantee of delivery. */
     void send(String address, SwimMessage message);
 
-    /** A member was added or its entry replaced. */
+    /** Called when a member was added ({@code before} is empty) or its record replaced. */
     void memberChanged(Optional<MemberRecord> before, MemberRecord after);
 
-    /** A member has a higher revision of the configuration than last heard. */
+    /** Called when a higher revision of the configuration than last known is in force at a member. */
     void revisionHeard(String name, long revision);
 
+    /** Called for each received hint; for one with scope {@code ALL} only when it is new here. */
     void hintReceived(Hint hint);
 
-    /** A dead member was forgotten. */
+    /** Called when a dead member was removed from the table. */
     void memberForgotten(MemberRecord last);
 }
--- a/agatelane-core/src/main/java/io/agatelane/core/membership/SwimMessage.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/membership/SwimMessage.java
@@ -5,11 +5,12 @@
 /**
  * One packet of the protocol.
  *
- * @param sequence chosen by the sender of a request and repeated in its answer
+ * @param sequence chosen by the sender of a request and repeated in the response
  * @param target PING and PING_REQ: the probed member; ACK: the member that is acknowledged
  * @param targetAddress PING_REQ: address of the probed member
- * @param cursor JOIN: the page starts after this name; SYNC: last name of the page, empty on the last page
- * @param tableHash JOIN and SYNC: hash of the sender's table
+ * @param cursor JOIN: member name after which the requested page starts; SYNC: last name of the page, empty on the last
+ *     page
+ * @param tableHash JOIN and SYNC: hash of the sender's member table; 0 in other packets
  */
 public record SwimMessage(
         Type type,
@@ -23,10 +24,10 @@
         long tableHash,
         List<MemberRecord> members,
         List<Hint> hints) {
-    /** Bytes of the IPv4 and UDP headers of a packet. */
-    public static final int HEADER_BYTES = 28;
+    /** Size of the IPv4 and UDP headers of a packet. */
+    public static final int IP_UDP_HEADER_BYTES = 28;
 
-    /** Kind of a packet. */
+    /** Packet type. */
     public enum Type {
         PING,
         ACK,
@@ -41,7 +42,7 @@
         hints = List.copyOf(hints);
     }
 
-    /** Returns a message without sender, target and content. */
+    /** Returns a message without sender, target and contents. */
     public static SwimMessage of(Type type, long sequence) {
         return new SwimMessage(type, sequence, "", "", 0, "", "", "", 0, List.of(), List.of());
     }
@@ -51,7 +52,7 @@
                 type, sequence, name, address, revision, target, targetAddress, cursor, tableHash, members, hints);
     }
 
-    /** Returns a copy about another member. */
+    /** Returns a copy with another target member. */
     public SwimMessage withTarget(String name, String address) {
         return new SwimMessage(
                 type,
@@ -67,7 +68,7 @@
                 hints);
     }
 
-    /** Returns a copy with the place in a table of members. */
+    /** Returns a copy with a position in the member table and the hash of the table. */
     public SwimMessage withPage(String newCursor, long newTableHash) {
         return new SwimMessage(
                 type,
@@ -83,7 +84,7 @@
                 hints);
     }
 
-    /** Returns a copy that carries these entries and hints. */
+    /** Returns a copy that carries these member records and hints. */
     public SwimMessage withContent(List<MemberRecord> newMembers, List<Hint> newHints) {
         return new SwimMessage(
                 type,
@@ -99,16 +100,16 @@
                 newHints);
     }
 
-    /** Upper bound of the encoded size without IP and UDP headers. */
+    /** Upper bound of the encoded size in bytes without IP and UDP headers. */
     public int sizeBytes() {
-        int bytes = WireSize.ENUM
-                + WireSize.number(sequence)
-                + WireSize.string(sender)
-                + WireSize.string(senderAddress)
-                + WireSize.number(configRevision)
-                + WireSize.string(target)
-                + WireSize.string(targetAddress)
-                + WireSize.string(cursor)
+        int bytes = WireSize.ENUM_FIELD_BYTES
+                + WireSize.integerFieldBytes(sequence)
+                + WireSize.stringFieldBytes(sender)
+                + WireSize.stringFieldBytes(senderAddress)
+                + WireSize.integerFieldBytes(configRevision)
+                + WireSize.stringFieldBytes(target)
+                + WireSize.stringFieldBytes(targetAddress)
+                + WireSize.stringFieldBytes(cursor)
                 + (tableHash == 0 ? 0 : 1 + Long.BYTES);
         for (MemberRecord member : members) {
             bytes += member.sizeBytes();
--- a/agatelane-core/src/main/java/io/agatelane/core/membership/WireSize.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/membership/WireSize.java
@@ -1,17 +1,17 @@
 package io.agatelane.core.membership;
 
-/** Upper bounds of encoded sizes, in bytes, for tags below 16 and strings below 128 bytes. */
+/** Upper bounds of Protocol Buffers field sizes, for field numbers below 16 and strings shorter than 128 bytes. */
 public final class WireSize {
-    /** Tag and two-byte length of a nested message. */
-    public static final int NESTED = 3;
+    /** Size of the tag and of the two-byte length of a nested message. */
+    public static final int NESTED_HEADER_BYTES = 3;
 
-    /** Tag and value of an enum with fewer than 128 constants. */
-    public static final int ENUM = 2;
+    /** Size of the tag and of the value of an enum with fewer than 128 constants. */
+    public static final int ENUM_FIELD_BYTES = 2;
 
     private WireSize() {}
 
-    /** Size of a string field; 0 when empty, as absent fields are not sent. */
-    public static int string(String value) {
+    /** Returns the size of a string field; 0 when empty, as empty fields are not encoded. */
+    public static int stringFieldBytes(String value) {
         if (value.isEmpty()) {
             return 0;
         }
@@ -23,8 +23,8 @@
         return bytes;
     }
 
-    /** Size of an integer field. */
-    public static int number(long value) {
+    /** Returns the size of a varint field; 0 for the value 0, which is not encoded. */
+    public static int integerFieldBytes(long value) {
         if (value == 0) {
             return 0;
         }
--- a/agatelane-core/src/main/java/io/agatelane/core/membership/command/ByteBudget.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/membership/command/ByteBudget.java
@@ -1,15 +1,16 @@
 package io.agatelane.core.membership.command;
 
-/** Token bucket for sent bytes. */
+/** Token bucket that limits the sent bytes; one token is one byte. */
 final class ByteBudget {
-    /** Who may use the last tokens. */
+    /** Priority of a packet: the part of the bucket that it must leave to packets of higher priority. */
     enum Priority {
-        /** Probes and their answers: a missing one looks like a failure of this member. */
+        /** Probes and acknowledgements may empty the bucket: a missing one looks like a failure of this member. */
         PROBE(0),
         GOSSIP(4),
         TABLE(8),
         HINT(2);
 
+        /** The reserved part is the burst divided by this; 0 reserves nothing. */
         private final int reservedDivisor;
 
         Priority(int reservedDivisor) {
@@ -28,14 +29,14 @@
         this.tokens = burstBytes;
     }
 
-    /** Bytes that a priority may send now; a part of the bucket is kept for the higher ones. */
+    /** Returns the bytes that may be sent now at a priority; negative when less than the reserved part is left. */
     int available(Priority priority, long nowMillis) {
         refill(nowMillis);
         int reserved = priority.reservedDivisor == 0 ? 0 : burstBytes / priority.reservedDivisor;
         return (int) tokens - reserved;
     }
 
-    /** Takes tokens if the priority may use that many. */
+    /** Takes tokens if that many are available at the priority. Returns false and takes none otherwise. */
     boolean tryTake(int bytes, Priority priority, long nowMillis) {
         if (available(priority, nowMillis) < bytes) {
             return false;
--- a/agatelane-core/src/main/java/io/agatelane/core/membership/command/Broadcasts.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/membership/command/DisseminationQueue.java
@@ -9,18 +9,18 @@
 import java.util.List;
 import java.util.Map;
 
-/** Updates that travel on other packets, each a bounded number of times; those sent least often go first. */
-final class Broadcasts {
-    /** Below this number of free bytes no item can fit, so the search ends. */
+/** Updates to be piggybacked on packets, each a bounded number of times; those sent least often are chosen first. */
+final class DisseminationQueue {
+    /** No item fits into fewer free bytes than this, so the search ends there. */
     private static final int SMALLEST_ITEM_BYTES = 16;
 
     private static final String HINT_PREFIX = "hint:";
     private static final String MEMBER_PREFIX = "member:";
 
-    private final List<Map<String, Item>> byTransmissions = new ArrayList<>();
-    private final Map<String, Integer> level = new HashMap<>();
+    private final List<Map<String, Item>> itemsByTransmissions = new ArrayList<>();
+    private final Map<String, Integer> transmissionsByKey = new HashMap<>();
 
-    /** Queues an entry; it replaces an older one about the same member. */
+    /** Queues a member record; it replaces an older one about the same member. */
     void add(MemberRecord member) {
         add(MEMBER_PREFIX + member.name(), new Item(member, null, member.sizeBytes()));
     }
@@ -31,63 +31,63 @@
     }
 
     boolean isEmpty() {
-        return level.isEmpty();
+        return transmissionsByKey.isEmpty();
     }
 
-    /** Takes items that fit and counts a transmission of each; items at the limit are dropped. */
+    /** Selects items that fit and counts a transmission of each; items that reach the limit are dropped. */
     Selection select(int maxBytes, int transmissionLimit) {
         Selection selection = new Selection();
-        List<Moved> moved = new ArrayList<>();
+        List<SentItem> sentItems = new ArrayList<>();
         int freeBytes = maxBytes;
-        for (int count = 0; count < byTransmissions.size(); count++) {
+        for (int transmissions = 0; transmissions < itemsByTransmissions.size(); transmissions++) {
             Iterator<Map.Entry<String, Item>> items =
-                    byTransmissions.get(count).entrySet().iterator();
+                    itemsByTransmissions.get(transmissions).entrySet().iterator();
             while (items.hasNext()) {
                 Map.Entry<String, Item> entry = items.next();
-                if (count >= transmissionLimit) {
+                if (transmissions >= transmissionLimit) {
                     items.remove();
-                    level.remove(entry.getKey());
+                    transmissionsByKey.remove(entry.getKey());
                 } else if (entry.getValue().sizeBytes <= freeBytes) {
                     freeBytes -= entry.getValue().sizeBytes;
                     selection.add(entry.getValue());
-                    moved.add(new Moved(entry.getKey(), entry.getValue(), count + 1));
+                    sentItems.add(new SentItem(entry.getKey(), entry.getValue(), transmissions + 1));
                     items.remove();
                 } else if (freeBytes < SMALLEST_ITEM_BYTES) {
                     break;
                 }
             }
         }
-        for (Moved move : moved) {
-            if (move.count < transmissionLimit) {
-                put(move.count, move.key, move.item);
+        for (SentItem sentItem : sentItems) {
+            if (sentItem.transmissions < transmissionLimit) {
+                put(sentItem.transmissions, sentItem.key, sentItem.item);
             } else {
-                level.remove(move.key);
+                transmissionsByKey.remove(sentItem.key);
             }
         }
         return selection;
     }
 
     private void add(String key, Item item) {
-        Integer oldLevel = level.get(key);
-        if (oldLevel != null) {
-            byTransmissions.get(oldLevel).remove(key);
+        Integer oldTransmissions = transmissionsByKey.get(key);
+        if (oldTransmissions != null) {
+            itemsByTransmissions.get(oldTransmissions).remove(key);
         }
         put(0, key, item);
     }
 
-    private void put(int count, String key, Item item) {
-        while (byTransmissions.size() <= count) {
-            byTransmissions.add(new LinkedHashMap<>());
+    private void put(int transmissions, String key, Item item) {
+        while (itemsByTransmissions.size() <= transmissions) {
+            itemsByTransmissions.add(new LinkedHashMap<>());
         }
-        byTransmissions.get(count).put(key, item);
-        level.put(key, count);
+        itemsByTransmissions.get(transmissions).put(key, item);
+        transmissionsByKey.put(key, transmissions);
     }
 
     private record Item(MemberRecord member, Hint hint, int sizeBytes) {}
 
-    private record Moved(String key, Item item, int count) {}
+    private record SentItem(String key, Item item, int transmissions) {}
 
-    /** What goes into one packet. */
+    /** The updates selected for one packet. */
     static final class Selection {
         final List<MemberRecord> members = new ArrayList<>();
         final List<Hint> hints = new ArrayList<>();
--- a/agatelane-core/src/main/java/io/agatelane/core/membership/command/HintExchange.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/membership/command/HintExchange.java
@@ -15,40 +15,41 @@
 import java.util.Map;
 
 /**
- * Spreads hints. Those for all members travel on other packets and are passed on. Those for an availability zone or a
- * region are sent once by their publisher to each member there: passing them on would cost several times the bytes.
+ * Sends and receives hints. Hints for all members are piggybacked on other packets and disseminated by each receiver.
+ * Hints for an availability zone or a region are sent once by their publisher to each member in scope: dissemination
+ * would cost several times the bytes.
  */
 final class HintExchange {
     private static final int MAX_HINT_BYTES = 1_000;
-    private static final int MAX_SEEN = 8_192;
+    private static final int MAX_SEEN_HINTS = 8_192;
 
     private final SwimSettings settings;
     private final MemberTable table;
-    private final Outbox outbox;
-    private final Broadcasts broadcasts;
+    private final PacketSender packetSender;
+    private final DisseminationQueue disseminationQueue;
     private final SwimListener listener;
     private final SwimCounters counters;
-    /** In order of priority. */
-    private final List<ScopedLog> logs = List.of(
+    /** In order of priority, highest first. */
+    private final List<ScopedLog> scopedLogs = List.of(
             new ScopedLog(HintScope.AVAILABILITY_ZONE, true),
             new ScopedLog(HintScope.AVAILABILITY_ZONE, false),
             new ScopedLog(HintScope.REGION, false));
 
-    private final Map<String, Seen> seen = new HashMap<>();
+    private final Map<String, SeenHint> seenHints = new HashMap<>();
     private long nextRoundMillis;
-    private int rotation;
+    private int roundOffset;
 
     HintExchange(
             SwimSettings settings,
             MemberTable table,
-            Outbox outbox,
-            Broadcasts broadcasts,
+            PacketSender packetSender,
+            DisseminationQueue disseminationQueue,
             SwimListener listener,
             SwimCounters counters) {
         this.settings = settings;
         this.table = table;
-        this.outbox = outbox;
-        this.broadcasts = broadcasts;
+        this.packetSender = packetSender;
+        this.disseminationQueue = disseminationQueue;
         this.listener = listener;
         this.counters = counters;
     }
@@ -56,36 +57,37 @@
     void publish(Hint hint, long nowMillis) {
         if (hint.sizeBytes() > MAX_HINT_BYTES) {
             throw new AgatelaneException(
-                            FailureType.INVALID_OBJECT, "a hint of " + hint.sizeBytes() + " bytes is too large")
+                            FailureType.INVALID_OBJECT,
+                            "a hint of " + hint.sizeBytes() + " bytes exceeds the maximum hint size")
                     .withLocation(hint.key());
         }
         if (hint.scope() == HintScope.ALL) {
-            remember(hint, nowMillis);
-            broadcasts.add(hint);
+            recordSeen(hint, nowMillis);
+            disseminationQueue.add(hint);
             return;
         }
-        for (ScopedLog scoped : logs) {
+        for (ScopedLog scoped : scopedLogs) {
             if (scoped.scope == hint.scope() && scoped.urgent == isUrgent(hint)) {
                 scoped.log.add(hint, nowMillis);
             }
         }
     }
 
-    /** Takes a hint from a packet; one for all members is passed on when it is new here. */
+    /** Handles a received hint. One for all members is disseminated further when it is new here, else ignored. */
     void receive(Hint hint, long nowMillis) {
         if (hint.scope() == HintScope.ALL) {
-            Seen known = seen.get(hint.key());
+            SeenHint known = seenHints.get(hint.key());
             if (known != null && known.sequence >= hint.sequence() && known.expiresMillis > nowMillis) {
                 return;
             }
-            remember(hint, nowMillis);
-            broadcasts.add(hint);
+            recordSeen(hint, nowMillis);
+            disseminationQueue.add(hint);
         }
         listener.hintReceived(hint);
     }
 
     void forget(String member) {
-        logs.forEach(scoped -> scoped.log.forget(member));
+        scopedLogs.forEach(scoped -> scoped.log.forget(member));
     }
 
     void tick(long nowMillis) {
@@ -93,8 +95,8 @@
             return;
         }
         nextRoundMillis = nowMillis + settings.hintPeriodMillis();
-        rotation++;
-        for (ScopedLog scoped : logs) {
+        roundOffset++;
+        for (ScopedLog scoped : scopedLogs) {
             counters.add(SwimCounter.HINTS_EXPIRED_UNSENT, scoped.log.expire(nowMillis));
             if (!sendRound(scoped, nowMillis)) {
                 return;
@@ -102,22 +104,22 @@
         }
     }
 
-    /** Returns false when the bytes are used up; the next round begins with another member. */
+    /** Returns false when the byte budget is used up; the next round then starts with another member. */
     private boolean sendRound(ScopedLog scoped, long nowMillis) {
         List<MemberEntry> members = table.reachable();
         SwimMessage empty = SwimMessage.of(SwimMessage.Type.GOSSIP, 0);
         for (int i = 0; i < members.size(); i++) {
-            MemberEntry entry = members.get((i + rotation) % members.size());
+            MemberEntry entry = members.get((i + roundOffset) % members.size());
             String name = entry.record.name();
             if (!scoped.scope.includes(table.self(), entry.record) || !scoped.log.isPending(name)) {
                 continue;
             }
-            List<Hint> hints = scoped.log.pending(name, outbox.freeBytes(empty));
+            List<Hint> hints = scoped.log.pending(name, packetSender.freeBytes(empty));
             SwimMessage packet = empty.withContent(List.of(), hints);
-            if (!outbox.send(entry.record.address(), packet, Priority.HINT, nowMillis)) {
+            if (!packetSender.send(entry.record.address(), packet, Priority.HINT, nowMillis)) {
                 return false;
             }
-            scoped.log.sent(name, hints.get(hints.size() - 1));
+            scoped.log.markSent(name, hints.get(hints.size() - 1));
         }
         return true;
     }
@@ -126,15 +128,15 @@
         return hint.scope() == HintScope.AVAILABILITY_ZONE && hint.urgent();
     }
 
-    private void remember(Hint hint, long nowMillis) {
-        if (seen.size() >= MAX_SEEN) {
-            seen.values().removeIf(known -> known.expiresMillis <= nowMillis);
+    private void recordSeen(Hint hint, long nowMillis) {
+        if (seenHints.size() >= MAX_SEEN_HINTS) {
+            seenHints.values().removeIf(known -> known.expiresMillis <= nowMillis);
         }
-        if (seen.size() >= MAX_SEEN) {
-            // Forgetting costs a repeated delivery at most.
-            seen.clear();
+        if (seenHints.size() >= MAX_SEEN_HINTS) {
+            // Clearing the table costs no more than repeated deliveries.
+            seenHints.clear();
         }
-        seen.put(hint.key(), new Seen(hint.sequence(), nowMillis + hint.lifetimeMillis()));
+        seenHints.put(hint.key(), new SeenHint(hint.sequence(), nowMillis + hint.lifetimeMillis()));
     }
 
     private static final class ScopedLog {
@@ -148,5 +150,5 @@
         }
     }
 
-    private record Seen(long sequence, long expiresMillis) {}
+    private record SeenHint(long sequence, long expiresMillis) {}
 }
--- a/agatelane-core/src/main/java/io/agatelane/core/membership/command/HintLog.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/membership/command/HintLog.java
@@ -9,69 +9,71 @@
 import java.util.TreeMap;
 
 /**
- * Own hints in the order of publication, with a position per member up to which they were sent. A newer hint takes the
- * place of an older one of the same key, so a member that is served slowly gets the newest state only.
+ * Locally published hints in the order of publication, with the position up to which each member has been sent them. A
+ * newer hint replaces an older one of the same key, so a member that lags behind is sent only the newest state.
  */
 final class HintLog {
-    /** Bounds the memory; the oldest hints are dropped first. */
+    /** Bounds the memory; above it the oldest hints are dropped. */
     private static final int MAX_HINTS = 8_192;
 
-    private final TreeMap<Long, Stamped> byNumber = new TreeMap<>();
-    private final Map<String, Long> numberOfKey = new HashMap<>();
-    private final Map<String, Long> sentTo = new HashMap<>();
-    private long lastNumber;
+    private final TreeMap<Long, LoggedHint> hintsByPosition = new TreeMap<>();
+    private final Map<String, Long> positionByKey = new HashMap<>();
+    private final Map<String, Long> sentPositionByMember = new HashMap<>();
+    private long lastPosition;
 
     void add(Hint hint, long nowMillis) {
-        Long old = numberOfKey.put(hint.key(), ++lastNumber);
-        if (old != null) {
-            byNumber.remove(old);
+        Long oldPosition = positionByKey.put(hint.key(), ++lastPosition);
+        if (oldPosition != null) {
+            hintsByPosition.remove(oldPosition);
         }
-        byNumber.put(lastNumber, new Stamped(hint, nowMillis + hint.lifetimeMillis()));
+        hintsByPosition.put(lastPosition, new LoggedHint(hint, nowMillis + hint.lifetimeMillis()));
     }
 
-    /** Drops hints that are out of date. Returns how many. */
+    /** Drops expired hints, and the oldest ones above the size limit. Returns the number of dropped hints. */
     int expire(long nowMillis) {
         int expired = 0;
-        Iterator<Stamped> hints = byNumber.values().iterator();
+        Iterator<LoggedHint> hints = hintsByPosition.values().iterator();
         while (hints.hasNext()) {
-            Stamped first = hints.next();
-            if (first.expiresMillis > nowMillis && byNumber.size() <= MAX_HINTS) {
+            LoggedHint first = hints.next();
+            if (first.expiresMillis > nowMillis && hintsByPosition.size() <= MAX_HINTS) {
                 break;
             }
             hints.remove();
-            numberOfKey.remove(first.hint.key());
+            positionByKey.remove(first.hint.key());
             expired++;
         }
         return expired;
     }
 
+    /** Whether hints are left that the member has not been sent. */
     boolean isPending(String member) {
-        return !byNumber.isEmpty() && byNumber.lastKey() > sentTo.getOrDefault(member, 0L);
+        return !hintsByPosition.isEmpty() && hintsByPosition.lastKey() > sentPositionByMember.getOrDefault(member, 0L);
     }
 
-    /** The oldest hints that a member did not get yet, up to a size. */
+    /** Returns the oldest hints that the member has not been sent, up to a total size. */
     List<Hint> pending(String member, int maxBytes) {
         List<Hint> hints = new ArrayList<>();
         int free = maxBytes;
-        for (Stamped stamped :
-                byNumber.tailMap(sentTo.getOrDefault(member, 0L), false).values()) {
-            free -= stamped.hint.sizeBytes();
+        for (LoggedHint logged : hintsByPosition
+                .tailMap(sentPositionByMember.getOrDefault(member, 0L), false)
+                .values()) {
+            free -= logged.hint.sizeBytes();
             if (free < 0) {
                 break;
             }
-            hints.add(stamped.hint);
+            hints.add(logged.hint);
         }
         return hints;
     }
 
-    /** Notes that a member was sent all hints up to the given one. */
-    void sent(String member, Hint last) {
-        sentTo.put(member, numberOfKey.get(last.key()));
+    /** Records that the member has been sent all hints up to the given one. */
+    void markSent(String member, Hint last) {
+        sentPositionByMember.put(member, positionByKey.get(last.key()));
     }
 
     void forget(String member) {
-        sentTo.remove(member);
+        sentPositionByMember.remove(member);
     }
 
-    private record Stamped(Hint hint, long expiresMillis) {}
+    private record LoggedHint(Hint hint, long expiresMillis) {}
 }
--- a/agatelane-core/src/main/java/io/agatelane/core/membership/command/MemberTable.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/membership/command/MemberTable.java
@@ -16,29 +16,29 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 
-/** The table of members: which entry wins, suspicion and refutation, forgetting. */
+/** The member table: precedence between records, suspicion, refutation, and removal of dead members. */
 final class MemberTable {
-    /** How an entry about a member was treated. */
-    enum Merge {
+    /** Result of merging a received record. */
+    enum MergeResult {
         IGNORED,
         APPLIED,
-        /** The entry shows as live a member that is dead here at the same incarnation. */
-        CONTESTED
+        /** The record shows as not dead a member that is dead here at the same incarnation. */
+        DEATH_DISPUTED
     }
 
     /**
-     * A refutation raises the incarnation by 1 and a start sets it to the time in milliseconds. A process needs more
-     * than a second to start, so larger steps are restarts.
+     * Smallest increase of the incarnation that indicates a restart. A refutation raises the incarnation by 1, and a
+     * start sets it to the time in milliseconds; a process needs more than a second to start.
      */
-    private static final long RESTART_STEP = 1_000;
+    private static final long RESTART_INCARNATION_STEP = 1_000;
 
     private final SwimSettings settings;
     private final SwimListener listener;
     private final SwimCounters counters;
-    private final Broadcasts broadcasts;
-    private final Consumer<MemberRecord> forgotten;
+    private final DisseminationQueue disseminationQueue;
+    private final Consumer<MemberRecord> onForgotten;
     private final TreeMap<String, MemberEntry> others = new TreeMap<>();
-    private final TreeMap<String, MemberEntry> timed = new TreeMap<>();
+    private final TreeMap<String, MemberEntry> entriesWithTimers = new TreeMap<>();
     private final List<MemberEntry> reachable = new ArrayList<>();
     private MemberRecord self;
     private long version;
@@ -48,14 +48,14 @@
             MemberRecord self,
             SwimListener listener,
             SwimCounters counters,
-            Broadcasts broadcasts,
-            Consumer<MemberRecord> forgotten) {
-        this.forgotten = forgotten;
+            DisseminationQueue disseminationQueue,
+            Consumer<MemberRecord> onForgotten) {
+        this.onForgotten = onForgotten;
         this.settings = settings;
         this.self = self;
         this.listener = listener;
         this.counters = counters;
-        this.broadcasts = broadcasts;
+        this.disseminationQueue = disseminationQueue;
     }
 
     MemberRecord self() {
@@ -66,13 +66,13 @@
         return version;
     }
 
-    /** Replaces the own entry. */
-    void setSelf(MemberRecord newSelf, boolean broadcast) {
+    /** Replaces the record of the local member. */
+    void setSelf(MemberRecord newSelf, boolean disseminate) {
         MemberRecord before = self;
         self = newSelf;
         version++;
-        if (broadcast) {
-            broadcasts.add(newSelf);
+        if (disseminate) {
+            disseminationQueue.add(newSelf);
         }
         listener.memberChanged(Optional.of(before), newSelf);
     }
@@ -81,91 +81,91 @@
         return Optional.ofNullable(others.get(name));
     }
 
-    /** All other members in name order. */
+    /** Returns all other members in name order. */
     Collection<MemberEntry> others() {
         return others.values();
     }
 
-    /** Other members after a name, in name order. */
+    /** Returns the other members after a name, in name order. */
     Collection<MemberEntry> othersAfter(String name) {
         return others.tailMap(name, false).values();
     }
 
-    /** Other members that are not dead. */
+    /** Returns the other members that are not dead, in no particular order. */
     List<MemberEntry> reachable() {
         return reachable;
     }
 
-    /** Members with a running suspicion. */
+    /** Returns the members with a running suspicion timer. */
     Collection<MemberEntry> suspects() {
-        return timed.values().stream()
-                .filter(entry -> entry.deathMillis != MemberEntry.NONE)
+        return entriesWithTimers.values().stream()
+                .filter(entry -> entry.declareDeadMillis != MemberEntry.NO_TIMER)
                 .toList();
     }
 
-    /** Picks distinct random members that are not dead. */
-    List<MemberEntry> random(int count, String exceptName, Random random) {
-        List<MemberEntry> picked = new ArrayList<>(count);
+    /** Samples distinct random members that are not dead. May return fewer than requested. */
+    List<MemberEntry> randomReachable(int count, String exceptName, Random random) {
+        List<MemberEntry> sampled = new ArrayList<>(count);
         int size = reachable.size();
         if (size <= count) {
-            picked.addAll(reachable);
-            picked.removeIf(entry -> entry.record.name().equals(exceptName));
-            return picked;
+            sampled.addAll(reachable);
+            sampled.removeIf(entry -> entry.record.name().equals(exceptName));
+            return sampled;
         }
-        // Few are picked from many, so repeats are rare; the bound ends the search in any case.
-        for (int tries = 0; picked.size() < count && tries < 4 * count + 8; tries++) {
+        // A few are sampled from many, so repeats are rare; the bound ends the search in any case.
+        for (int attempts = 0; sampled.size() < count && attempts < 4 * count + 8; attempts++) {
             MemberEntry entry = reachable.get(random.nextInt(size));
-            if (!picked.contains(entry) && !entry.record.name().equals(exceptName)) {
-                picked.add(entry);
+            if (!sampled.contains(entry) && !entry.record.name().equals(exceptName)) {
+                sampled.add(entry);
             }
         }
-        return picked;
+        return sampled;
     }
 
     /**
-     * Merges an entry that another member sent.
+     * Merges a record that another member sent.
      *
-     * @param passOn whether a member that was unknown here is announced to others
+     * @param disseminate whether the record of a member that was unknown here is disseminated
      */
-    Merge merge(MemberRecord heard, boolean passOn, long nowMillis) {
-        if (heard.name().equals(self.name())) {
-            return mergeSelf(heard);
+    MergeResult merge(MemberRecord received, boolean disseminate, long nowMillis) {
+        if (received.name().equals(self.name())) {
+            return mergeSelf(received);
         }
-        MemberEntry entry = others.get(heard.name());
+        MemberEntry entry = others.get(received.name());
         if (entry == null) {
-            // A member that was forgotten here must not return as dead from a table that forgets it later.
-            if (heard.status() == MemberStatus.DEAD) {
-                return Merge.IGNORED;
+            // A dead member that was removed here must not return from a table that removes it later.
+            if (received.status() == MemberStatus.DEAD) {
+                return MergeResult.IGNORED;
             }
-            insert(heard, nowMillis);
-            if (passOn) {
-                broadcasts.add(heard);
+            insert(received, nowMillis);
+            if (disseminate) {
+                disseminationQueue.add(received);
             }
-            return Merge.APPLIED;
+            return MergeResult.APPLIED;
         }
-        if (heard.supersedes(entry.record)) {
-            replace(entry, heard, false, nowMillis);
-            return Merge.APPLIED;
+        if (received.supersedes(entry.record)) {
+            replace(entry, received, false, nowMillis);
+            return MergeResult.APPLIED;
         }
-        if (heard.incarnation() == entry.record.incarnation()) {
-            hearRevision(entry, heard.configRevision());
-            if (entry.record.status() == MemberStatus.DEAD && heard.status() != MemberStatus.DEAD) {
-                return Merge.CONTESTED;
+        if (received.incarnation() == entry.record.incarnation()) {
+            updateConfigRevision(entry, received.configRevision());
+            if (entry.record.status() == MemberStatus.DEAD && received.status() != MemberStatus.DEAD) {
+                return MergeResult.DEATH_DISPUTED;
             }
         }
-        return Merge.IGNORED;
+        return MergeResult.IGNORED;
     }
 
-    /** Adds a member known from the platform's list, which may be out of date; the entry is not passed on. */
-    void learn(MemberRecord listed, long nowMillis) {
-        if (listed.name().equals(self.name()) || others.containsKey(listed.name())) {
+    /** Adds a member from the platform's list if unknown; as the list may be outdated, it is not disseminated. */
+    void addPlatformMember(MemberRecord platformRecord, long nowMillis) {
+        if (platformRecord.name().equals(self.name()) || others.containsKey(platformRecord.name())) {
             return;
         }
-        insert(listed.withStatus(MemberStatus.ALIVE), nowMillis);
+        insert(platformRecord.withStatus(MemberStatus.ALIVE), nowMillis);
     }
 
-    /** Notes the revision that a member reports of itself. */
-    void hearRevision(MemberEntry entry, long revision) {
+    /** Updates the revision of the configuration at a member; one that is not higher than the known one is ignored. */
+    void updateConfigRevision(MemberEntry entry, long revision) {
         if (revision <= entry.record.configRevision()) {
             return;
         }
@@ -174,58 +174,58 @@
         listener.revisionHeard(entry.record.name(), revision);
     }
 
-    /** Starts a suspicion after a failed probe. */
+    /** Starts a suspicion after a failed probe, or shortens a running one that another member started. */
     void suspect(MemberEntry entry, long nowMillis) {
         if (entry.record.status() == MemberStatus.DEAD) {
             return;
         }
-        if (entry.deathMillis != MemberEntry.NONE) {
-            entry.suspectedHere = true;
-            entry.deathMillis = Math.min(entry.deathMillis, nowMillis + settings.suspicionMillis());
+        if (entry.declareDeadMillis != MemberEntry.NO_TIMER) {
+            entry.suspectedLocally = true;
+            entry.declareDeadMillis = Math.min(entry.declareDeadMillis, nowMillis + settings.suspicionMillis());
             return;
         }
         counters.add(SwimCounter.SUSPICIONS, 1);
         if (entry.record.status() == MemberStatus.LEAVING) {
-            // The state stays LEAVING: a leaving member that ended must not look live for the time of a suspicion.
-            entry.suspectedHere = true;
+            // The state stays LEAVING: a leaving member that has stopped must not look live during a suspicion.
+            entry.suspectedLocally = true;
             startTimer(entry, nowMillis + settings.suspicionMillis());
             return;
         }
         replace(entry, entry.record.withStatus(MemberStatus.SUSPECT), true, nowMillis);
     }
 
-    /** Ends the local timer of a leaving member that answered; a suspicion ends only by refutation. */
-    void answered(MemberEntry entry) {
+    /** Stops the timer of a leaving member that acknowledged a probe; a suspicion ends only by refutation. */
+    void recordAcknowledgement(MemberEntry entry) {
         if (entry.record.status() == MemberStatus.LEAVING) {
             clearTimers(entry);
         }
     }
 
-    /** Declares suspects dead and forgets dead members when their time has come. */
+    /** Declares suspects dead and removes dead members when their timers expire. */
     void tick(long nowMillis) {
-        if (timed.isEmpty()) {
+        if (entriesWithTimers.isEmpty()) {
             return;
         }
-        for (MemberEntry entry : List.copyOf(timed.values())) {
-            if (entry.deathMillis <= nowMillis) {
+        for (MemberEntry entry : List.copyOf(entriesWithTimers.values())) {
+            if (entry.declareDeadMillis <= nowMillis) {
                 counters.add(SwimCounter.DEATHS_DECLARED, 1);
                 replace(entry, entry.record.withStatus(MemberStatus.DEAD), true, nowMillis);
             } else if (entry.forgetMillis <= nowMillis) {
-                forget(entry);
+                remove(entry);
             }
         }
     }
 
-    /** Moves running suspicions by the length of a pause of this process, in which no refutation could be read. */
-    void shiftSuspicions(long pauseMillis) {
-        for (MemberEntry entry : timed.values()) {
-            if (entry.deathMillis != MemberEntry.NONE) {
-                entry.deathMillis += pauseMillis;
+    /** Extends running suspicions by a pause of this process, during which no refutation could be received. */
+    void extendSuspicions(long pauseMillis) {
+        for (MemberEntry entry : entriesWithTimers.values()) {
+            if (entry.declareDeadMillis != MemberEntry.NO_TIMER) {
+                entry.declareDeadMillis += pauseMillis;
             }
         }
     }
 
-    /** Hash over names and incarnations of the members that are not dead; dead ones are forgotten at different times. */
+    /** Hashes the names and incarnations of members that are not dead; members remove dead ones at different times. */
     long hash() {
         long hash = Rendezvous.weight(Rendezvous.hash(self.name()), self.incarnation());
         for (MemberEntry entry : reachable) {
@@ -250,22 +250,22 @@
         return new MembershipSnapshot(version, self, members);
     }
 
-    private Merge mergeSelf(MemberRecord heard) {
-        boolean newer = heard.incarnation() > self.incarnation();
-        boolean same = heard.incarnation() == self.incarnation();
-        boolean otherAddress = same && !heard.address().equals(self.address());
-        boolean stronger = same && heard.status().compareTo(self.status()) > 0;
+    private MergeResult mergeSelf(MemberRecord received) {
+        boolean newer = received.incarnation() > self.incarnation();
+        boolean same = received.incarnation() == self.incarnation();
+        boolean otherAddress = same && !received.address().equals(self.address());
+        boolean stronger = same && received.status().compareTo(self.status()) > 0;
         if (!newer && !otherAddress && !stronger) {
-            return Merge.IGNORED;
+            return MergeResult.IGNORED;
         }
         if (otherAddress && !stronger) {
             counters.add(SwimCounter.NAME_CONFLICTS, 1);
         }
-        // Covers suspicions, a death declared during a pause, and the entry of this name from before a restart.
+        // Refutes a suspicion, a death declared during a pause, or the record of this name from before a restart.
         counters.add(SwimCounter.REFUTATIONS, 1);
-        long next = Math.min(MemberRecord.MAX_INCARNATION, heard.incarnation() + 1);
+        long next = Math.min(MemberRecord.MAX_INCARNATION, received.incarnation() + 1);
         setSelf(self.withIncarnation(next), true);
-        return Merge.APPLIED;
+        return MergeResult.APPLIED;
     }
 
     private void insert(MemberRecord record, long nowMillis) {
@@ -282,13 +282,13 @@
         }
     }
 
-    private void replace(MemberEntry entry, MemberRecord next, boolean here, long nowMillis) {
+    private void replace(MemberEntry entry, MemberRecord next, boolean locally, long nowMillis) {
         MemberRecord before = entry.record;
-        boolean restarted = next.incarnation() - before.incarnation() >= RESTART_STEP;
+        boolean restarted = next.incarnation() - before.incarnation() >= RESTART_INCARNATION_STEP;
         if (restarted) {
             counters.add(SwimCounter.RESTARTS_SEEN, 1);
         }
-        // Within one process the revision only grows, whichever way the entries travelled.
+        // Within one process the revision only grows, in whatever order its records arrive.
         long revision = restarted ? next.configRevision() : Math.max(next.configRevision(), before.configRevision());
         MemberRecord after = next.withConfigRevision(revision);
         entry.record = after;
@@ -297,40 +297,40 @@
             reachable.add(entry);
         }
         if (after.status() == MemberStatus.SUSPECT) {
-            entry.suspectedHere = here;
-            startTimer(entry, nowMillis + (here ? 1 : 2) * settings.suspicionMillis());
+            entry.suspectedLocally = locally;
+            startTimer(entry, nowMillis + (locally ? 1 : 2) * settings.suspicionMillis());
         } else if (after.status() == MemberStatus.DEAD) {
             if (before.status() != MemberStatus.DEAD) {
                 reachable.remove(entry);
             }
             entry.forgetMillis = nowMillis + settings.forgetMillis();
-            timed.put(after.name(), entry);
+            entriesWithTimers.put(after.name(), entry);
         }
         version++;
-        broadcasts.add(after);
+        disseminationQueue.add(after);
         listener.memberChanged(Optional.of(before), after);
         if (revision > before.configRevision()) {
             listener.revisionHeard(after.name(), revision);
         }
     }
 
-    private void startTimer(MemberEntry entry, long deathMillis) {
-        entry.deathMillis = deathMillis;
-        timed.put(entry.record.name(), entry);
+    private void startTimer(MemberEntry entry, long declareDeadMillis) {
+        entry.declareDeadMillis = declareDeadMillis;
+        entriesWithTimers.put(entry.record.name(), entry);
     }
 
     private void clearTimers(MemberEntry entry) {
-        entry.deathMillis = MemberEntry.NONE;
-        entry.forgetMillis = MemberEntry.NONE;
-        entry.suspectedHere = false;
-        timed.remove(entry.record.name());
+        entry.declareDeadMillis = MemberEntry.NO_TIMER;
+        entry.forgetMillis = MemberEntry.NO_TIMER;
+        entry.suspectedLocally = false;
+        entriesWithTimers.remove(entry.record.name());
     }
 
-    private void forget(MemberEntry entry) {
-        timed.remove(entry.record.name());
+    private void remove(MemberEntry entry) {
+        entriesWithTimers.remove(entry.record.name());
         others.remove(entry.record.name());
         version++;
-        forgotten.accept(entry.record);
+        onForgotten.accept(entry.record);
         listener.memberForgotten(entry.record);
     }
 }
--- a/agatelane-core/src/main/java/io/agatelane/core/membership/command/Outbox.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/membership/command/PacketSender.java
@@ -9,33 +9,33 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Completes packets with sender and piggybacked updates and keeps them within size and byte budget. */
-final class Outbox {
+/** Adds the sender and piggybacked updates to packets, and enforces the packet size and the byte budget. */
+final class PacketSender {
     private final SwimSettings settings;
     private final MemberTable table;
-    private final Broadcasts broadcasts;
+    private final DisseminationQueue disseminationQueue;
     private final SwimListener listener;
     private final SwimCounters counters;
     private final ByteBudget budget;
 
-    Outbox(
+    PacketSender(
             SwimSettings settings,
             MemberTable table,
-            Broadcasts broadcasts,
+            DisseminationQueue disseminationQueue,
             SwimListener listener,
             SwimCounters counters) {
         this.settings = settings;
         this.table = table;
-        this.broadcasts = broadcasts;
+        this.disseminationQueue = disseminationQueue;
         this.listener = listener;
         this.counters = counters;
         this.budget = new ByteBudget(settings.sendBytesPerSecond(), settings.burstBytes());
     }
 
-    /** Sends a packet as it is. Returns false when the byte budget does not allow it. */
+    /** Sends a packet without piggybacked updates. Returns false when the byte budget does not allow it. */
     boolean send(String address, SwimMessage message, ByteBudget.Priority priority, long nowMillis) {
-        SwimMessage complete = signed(message);
-        int bytes = complete.sizeBytes() + SwimMessage.HEADER_BYTES;
+        SwimMessage complete = withLocalSender(message);
+        int bytes = complete.sizeBytes() + SwimMessage.IP_UDP_HEADER_BYTES;
         if (!budget.tryTake(bytes, priority, nowMillis)) {
             counters.add(SwimCounter.PACKETS_THROTTLED, 1);
             return false;
@@ -46,14 +46,16 @@
         return true;
     }
 
-    /** Sends a packet with updates in its free space. */
+    /** Sends a packet with piggybacked updates. Returns false when the byte budget does not allow it. */
     boolean sendWithUpdates(String address, SwimMessage message, ByteBudget.Priority priority, long nowMillis) {
-        SwimMessage complete = signed(message);
-        int free = Math.min(settings.maxPacketBytes(), budget.available(priority, nowMillis) - SwimMessage.HEADER_BYTES)
+        SwimMessage complete = withLocalSender(message);
+        int free = Math.min(
+                        settings.maxPacketBytes(),
+                        budget.available(priority, nowMillis) - SwimMessage.IP_UDP_HEADER_BYTES)
                 - complete.sizeBytes();
-        if (free > 0 && !broadcasts.isEmpty()) {
+        if (free > 0 && !disseminationQueue.isEmpty()) {
             int limit = settings.disseminationLimit(table.reachable().size() + 1);
-            Broadcasts.Selection updates = broadcasts.select(free, limit);
+            DisseminationQueue.Selection updates = disseminationQueue.select(free, limit);
             List<MemberRecord> members = new ArrayList<>(complete.members());
             members.addAll(updates.members);
             complete = complete.withContent(members, updates.hints);
@@ -61,12 +63,12 @@
         return send(address, complete, priority, nowMillis);
     }
 
-    /** Bytes that a packet of the given base has for entries. */
+    /** Returns the bytes that are free for further content in a packet with the given content. */
     int freeBytes(SwimMessage message) {
-        return settings.maxPacketBytes() - signed(message).sizeBytes();
+        return settings.maxPacketBytes() - withLocalSender(message).sizeBytes();
     }
 
-    private SwimMessage signed(SwimMessage message) {
+    private SwimMessage withLocalSender(SwimMessage message) {
         MemberRecord self = table.self();
         return message.withSender(self.name(), self.address(), self.configRevision());
     }
--- a/agatelane-core/src/main/java/io/agatelane/core/membership/command/Prober.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/membership/command/Prober.java
@@ -14,96 +14,99 @@
 import java.util.Map;
 import java.util.Random;
 
-/** Failure detection: one probe per period, direct first, then through other members. */
+/** SWIM failure detection: one probe per period, first direct and, without acknowledgement, then indirect. */
 final class Prober {
-    /** Relayed probes kept at once; more are refused, so that requests of others cannot use up memory. */
-    private static final int MAX_RELAYS = 1_024;
+    /** Pending probes on behalf of other members; further requests are dropped to bound the memory. */
+    private static final int MAX_FORWARDED_PROBES = 1_024;
 
     private final SwimSettings settings;
     private final MemberTable table;
-    private final Outbox outbox;
+    private final PacketSender packetSender;
     private final SwimCounters counters;
     private final Random random;
-    private final Map<Long, Relay> relays = new HashMap<>();
-    private final List<MemberEntry> order = new ArrayList<>();
-    private Probe current;
+    private final Map<Long, ForwardedProbe> forwardedProbes = new HashMap<>();
+    private final List<MemberEntry> probeOrder = new ArrayList<>();
+    private Probe currentProbe;
     private long nextPeriodMillis;
     private long sequence;
 
-    Prober(SwimSettings settings, MemberTable table, Outbox outbox, SwimCounters counters, Random random) {
+    Prober(SwimSettings settings, MemberTable table, PacketSender packetSender, SwimCounters counters, Random random) {
         this.settings = settings;
         this.table = table;
-        this.outbox = outbox;
+        this.packetSender = packetSender;
         this.counters = counters;
         this.random = random;
-        // Sequences of a restarted process must not match answers to the one before it.
+        // The sequences of a restarted process must not match acknowledgements of its predecessor.
         this.sequence = random.nextInt() & 0xFFFFFFFFL;
     }
 
-    /** Starts at a random point of the period, so that members that start together do not probe together. */
+    /** Starts at a random point of the period, so that members that start together do not probe in lockstep. */
     void start(long nowMillis) {
-        nextPeriodMillis = nowMillis + random.nextLong(settings.periodMillis());
+        nextPeriodMillis = nowMillis + random.nextLong(settings.probePeriodMillis());
     }
 
-    /** Drops the running probe: its answer may have arrived unread during a pause of this process. */
-    void forgetProbe(long nowMillis) {
-        current = null;
-        relays.clear();
-        nextPeriodMillis = nowMillis + settings.periodMillis();
+    /** Cancels the pending probes: acknowledgements may wait unread after a pause of this process. */
+    void cancelProbes(long nowMillis) {
+        currentProbe = null;
+        forwardedProbes.clear();
+        nextPeriodMillis = nowMillis + settings.probePeriodMillis();
     }
 
     void tick(long nowMillis) {
-        if (current != null && !current.indirect && nowMillis - current.sentMillis >= settings.ackTimeoutMillis()) {
+        if (currentProbe != null
+                && !currentProbe.indirectRequested
+                && nowMillis - currentProbe.sentMillis >= settings.ackTimeoutMillis()) {
             probeIndirectly(nowMillis);
         }
         if (nowMillis < nextPeriodMillis) {
             return;
         }
-        nextPeriodMillis = Math.max(nextPeriodMillis + settings.periodMillis(), nowMillis + 1);
-        relays.values().removeIf(relay -> relay.expiresMillis <= nowMillis);
-        endProbe(nowMillis);
+        nextPeriodMillis = Math.max(nextPeriodMillis + settings.probePeriodMillis(), nowMillis + 1);
+        forwardedProbes.values().removeIf(forwarded -> forwarded.expiresMillis <= nowMillis);
+        suspectIfUnacknowledged(nowMillis);
         beginProbe(nowMillis);
         probeSuspects(nowMillis);
     }
 
-    /** Tells a member what is held of it here, outside the order of probes. */
+    /** Probes a member outside the probe order; the probe carries its record here unless that is {@code ALIVE}. */
     void pingNow(MemberEntry entry, long nowMillis) {
         ping(++sequence, entry.record.name(), entry.record.address(), nowMillis);
     }
 
-    /** Answers a probe. */
+    /** Acknowledges a probe. */
     void onPing(String fromAddress, SwimMessage ping, List<MemberRecord> corrections, long nowMillis) {
         SwimMessage ack = SwimMessage.of(SwimMessage.Type.ACK, ping.sequence())
                 .withTarget(table.self().name(), "")
                 .withContent(corrections, List.of());
-        outbox.sendWithUpdates(fromAddress, ack, Priority.PROBE, nowMillis);
+        packetSender.sendWithUpdates(fromAddress, ack, Priority.PROBE, nowMillis);
     }
 
-    /** Probes a member on behalf of another one. */
+    /** Probes a member on behalf of another member. */
     void onPingRequest(String fromAddress, SwimMessage request, long nowMillis) {
-        if (relays.size() >= MAX_RELAYS
+        if (forwardedProbes.size() >= MAX_FORWARDED_PROBES
                 || request.target().isEmpty()
                 || request.targetAddress().isEmpty()) {
             return;
         }
-        long relaySequence = ++sequence;
-        relays.put(
-                relaySequence,
-                new Relay(fromAddress, request.sequence(), request.target(), nowMillis + settings.periodMillis()));
-        ping(relaySequence, request.target(), request.targetAddress(), nowMillis);
+        long forwardedSequence = ++sequence;
+        forwardedProbes.put(
+                forwardedSequence,
+                new ForwardedProbe(
+                        fromAddress, request.sequence(), request.target(), nowMillis + settings.probePeriodMillis()));
+        ping(forwardedSequence, request.target(), request.targetAddress(), nowMillis);
     }
 
-    /** Takes the answer to an own probe or to a relayed one. */
+    /** Handles the acknowledgement of a local probe or of one on behalf of another member. */
     void onAck(SwimMessage ack, long nowMillis) {
-        if (current != null && current.sequence == ack.sequence() && current.name.equals(ack.target())) {
-            current = null;
+        if (currentProbe != null && currentProbe.sequence == ack.sequence() && currentProbe.name.equals(ack.target())) {
+            currentProbe = null;
         }
-        table.find(ack.target()).ifPresent(table::answered);
-        Relay relay = relays.remove(ack.sequence());
-        if (relay != null && relay.target.equals(ack.target())) {
-            SwimMessage relayed =
-                    SwimMessage.of(SwimMessage.Type.ACK, relay.originalSequence).withTarget(relay.target, "");
-            outbox.sendWithUpdates(relay.requesterAddress, relayed, Priority.PROBE, nowMillis);
+        table.find(ack.target()).ifPresent(table::recordAcknowledgement);
+        ForwardedProbe forwarded = forwardedProbes.remove(ack.sequence());
+        if (forwarded != null && forwarded.target.equals(ack.target())) {
+            SwimMessage forwardedAck = SwimMessage.of(SwimMessage.Type.ACK, forwarded.originalSequence)
+                    .withTarget(forwarded.target, "");
+            packetSender.sendWithUpdates(forwarded.requesterAddress, forwardedAck, Priority.PROBE, nowMillis);
         }
     }
 
@@ -112,43 +115,43 @@
         if (target == null) {
             return;
         }
-        current = new Probe(target.record.name(), ++sequence, nowMillis);
-        ping(current.sequence, target.record.name(), target.record.address(), nowMillis);
+        currentProbe = new Probe(target.record.name(), ++sequence, nowMillis);
+        ping(currentProbe.sequence, target.record.name(), target.record.address(), nowMillis);
     }
 
-    private void endProbe(long nowMillis) {
-        if (current == null) {
+    private void suspectIfUnacknowledged(long nowMillis) {
+        if (currentProbe == null) {
             return;
         }
-        Probe failed = current;
-        current = null;
-        table.find(failed.name).ifPresent(entry -> table.suspect(entry, nowMillis));
+        Probe unacknowledged = currentProbe;
+        currentProbe = null;
+        table.find(unacknowledged.name).ifPresent(entry -> table.suspect(entry, nowMillis));
     }
 
     private void probeIndirectly(long nowMillis) {
-        current.indirect = true;
-        MemberEntry target = table.find(current.name).orElse(null);
+        currentProbe.indirectRequested = true;
+        MemberEntry target = table.find(currentProbe.name).orElse(null);
         if (target == null) {
             return;
         }
         counters.add(SwimCounter.INDIRECT_PROBES, 1);
-        requestProbes(current.sequence, target, nowMillis);
+        sendPingRequests(currentProbe.sequence, target, nowMillis);
     }
 
-    private void requestProbes(long probeSequence, MemberEntry target, long nowMillis) {
+    private void sendPingRequests(long probeSequence, MemberEntry target, long nowMillis) {
         MemberRecord record = target.record;
         SwimMessage request = SwimMessage.of(SwimMessage.Type.PING_REQ, probeSequence)
                 .withTarget(record.name(), record.address())
-                .withContent(told(record.name()), List.of());
+                .withContent(recordToRefute(record.name()), List.of());
         for (MemberEntry helper : helpers(record.name())) {
-            outbox.sendWithUpdates(helper.record.address(), request, Priority.PROBE, nowMillis);
+            packetSender.sendWithUpdates(helper.record.address(), request, Priority.PROBE, nowMillis);
         }
     }
 
-    /** Members of other availability zones first: their paths fail independently of the path from here. */
+    /** Selects members for an indirect probe, other availability zones first: their paths fail independently. */
     private List<MemberEntry> helpers(String targetName) {
-        int wanted = settings.indirectProbes();
-        List<MemberEntry> candidates = table.random(4 * wanted, targetName, random);
+        int maxHelpers = settings.indirectProbes();
+        List<MemberEntry> candidates = table.randomReachable(4 * maxHelpers, targetName, random);
         Collections.shuffle(candidates, random);
         MemberRecord self = table.self();
         List<MemberEntry> helpers = new ArrayList<>(candidates.size());
@@ -163,18 +166,19 @@
                 helpers.add(entry);
             }
         }
-        return helpers.subList(0, Math.min(wanted, helpers.size()));
+        return helpers.subList(0, Math.min(maxHelpers, helpers.size()));
     }
 
     /**
-     * Gives each suspect a chance to refute in every period, on several paths. At 30% packet loss, false deaths were 1 in
-     * 25,099 suspicions with this rule, 8 in 24,660 with direct probes alone and 36 in 22,928 without probes of suspects.
+     * Probes each suspect in every period, directly and indirectly, so that it can refute. At 30% packet loss, 1 in
+     * 25,099 suspicions ended in a false death with these probes, 8 in 24,660 with direct probes alone and 36 in 22,928
+     * without probes of suspects.
      */
     private void probeSuspects(long nowMillis) {
         for (MemberEntry entry : table.suspects()) {
-            if (entry.suspectedHere) {
+            if (entry.suspectedLocally) {
                 ping(++sequence, entry.record.name(), entry.record.address(), nowMillis);
-                requestProbes(sequence, entry, nowMillis);
+                sendPingRequests(sequence, entry, nowMillis);
             }
         }
     }
@@ -182,12 +186,12 @@
     private void ping(long pingSequence, String name, String address, long nowMillis) {
         SwimMessage ping = SwimMessage.of(SwimMessage.Type.PING, pingSequence)
                 .withTarget(name, "")
-                .withContent(told(name), List.of());
-        outbox.sendWithUpdates(address, ping, Priority.PROBE, nowMillis);
+                .withContent(recordToRefute(name), List.of());
+        packetSender.sendWithUpdates(address, ping, Priority.PROBE, nowMillis);
     }
 
-    /** The entry of a member that is not alive here, which it has to learn of to refute it. */
-    private List<MemberRecord> told(String name) {
+    /** Returns the record of a member unless it is alive here; the member must receive it to refute it. */
+    private List<MemberRecord> recordToRefute(String name) {
         return table.find(name)
                 .map(entry -> entry.record)
                 .filter(record -> record.status() != MemberStatus.ALIVE)
@@ -195,18 +199,18 @@
                 .orElse(List.of());
     }
 
-    /** A random order in which each member comes once before any comes again bounds the time to detection. */
+    /** Returns the next member in random round-robin order, which bounds the time to detection, or null without one. */
     private MemberEntry nextTarget() {
         for (int round = 0; round < 2; round++) {
-            while (!order.isEmpty()) {
-                MemberEntry entry = order.remove(order.size() - 1);
+            while (!probeOrder.isEmpty()) {
+                MemberEntry entry = probeOrder.remove(probeOrder.size() - 1);
                 boolean known = table.find(entry.record.name()).orElse(null) == entry;
                 if (known && entry.record.status() != MemberStatus.DEAD) {
                     return entry;
                 }
             }
-            order.addAll(table.reachable());
-            Collections.shuffle(order, random);
+            probeOrder.addAll(table.reachable());
+            Collections.shuffle(probeOrder, random);
         }
         return null;
     }
@@ -215,7 +219,7 @@
         private final String name;
         private final long sequence;
         private final long sentMillis;
-        private boolean indirect;
+        private boolean indirectRequested;
 
         private Probe(String name, long sequence, long sentMillis) {
             this.name = name;
@@ -224,5 +228,5 @@
         }
     }
 
-    private record Relay(String requesterAddress, long originalSequence, String target, long expiresMillis) {}
+    private record ForwardedProbe(String requesterAddress, long originalSequence, String target, long expiresMillis) {}
 }
--- a/agatelane-core/src/main/java/io/agatelane/core/membership/command/SwimProtocol.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/membership/command/SwimProtocol.java
@@ -18,105 +18,105 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * Membership by SWIM with suspicion and refutation. Not safe for use by several threads, but for the counters. All times
- * are monotonic milliseconds.
+ * SWIM membership with suspicion and refutation. Not thread-safe except for the counters. All times are monotonic
+ * milliseconds.
  */
 public final class SwimProtocol {
-    /** How often {@link #tick} is to be called. */
+    /** Interval at which {@link #tick} must be called. */
     public static final long TICK_MILLIS = 50;
 
-    /** A leaving member tells this many others at once; piggybacked updates reach the rest. */
+    /** Number of members that a leaving member notifies at once; piggybacked updates reach the others. */
     private static final int LEAVING_FANOUT = 5;
 
     private final SwimSettings settings;
     private final SwimCounters counters = new SwimCounters();
-    private final Broadcasts broadcasts = new Broadcasts();
+    private final DisseminationQueue disseminationQueue = new DisseminationQueue();
     private final Random random;
     private final MemberTable table;
-    private final Outbox outbox;
+    private final PacketSender packetSender;
     private final Prober prober;
-    private final TableSync sync;
-    private final HintExchange hints;
-    private final RevisionFanout revisions;
+    private final TableSync tableSync;
+    private final HintExchange hintExchange;
+    private final RevisionFanout revisionFanout;
     private long lastTickMillis;
     private long nextGossipMillis;
 
     public SwimProtocol(SwimSettings settings, MemberRecord self, long seed, SwimListener listener) {
         this.settings = settings;
         this.random = new JDKRandomBridge(RandomSource.XO_RO_SHI_RO_128_PP, seed);
-        this.table = new MemberTable(settings, self, listener, counters, broadcasts, this::memberForgotten);
-        this.outbox = new Outbox(settings, table, broadcasts, listener, counters);
-        this.prober = new Prober(settings, table, outbox, counters, random);
-        this.sync = new TableSync(settings, table, outbox, random);
-        this.hints = new HintExchange(settings, table, outbox, broadcasts, listener, counters);
-        this.revisions = new RevisionFanout(table, outbox);
+        this.table = new MemberTable(settings, self, listener, counters, disseminationQueue, this::memberForgotten);
+        this.packetSender = new PacketSender(settings, table, disseminationQueue, listener, counters);
+        this.prober = new Prober(settings, table, packetSender, counters, random);
+        this.tableSync = new TableSync(settings, table, packetSender, random);
+        this.hintExchange = new HintExchange(settings, table, packetSender, disseminationQueue, listener, counters);
+        this.revisionFanout = new RevisionFanout(table, packetSender);
     }
 
-    /** Begins to join through the seeds' addresses. */
+    /** Starts to join the other members through the addresses of the seeds. */
     public void start(List<String> seedAddresses, long nowMillis) {
         lastTickMillis = nowMillis;
         nextGossipMillis = nowMillis + random.nextLong(settings.gossipPeriodMillis());
-        broadcasts.add(table.self());
+        disseminationQueue.add(table.self());
         prober.start(nowMillis);
-        sync.start(seedAddresses, nowMillis);
-        sync.tick(nowMillis);
+        tableSync.start(seedAddresses, nowMillis);
+        tableSync.tick(nowMillis);
     }
 
-    /** Takes the platform's list of members, which may be out of date. */
+    /** Adds unknown members from the platform's list, which may be outdated. */
     public void learn(List<MemberRecord> records, long nowMillis) {
-        sync.learn(records, nowMillis);
+        tableSync.updatePlatformMembers(records, nowMillis);
     }
 
-    /** Runs what is due. */
+    /** Performs the work that is due: timeouts, probes, synchronization, gossip and hints. */
     public void tick(long nowMillis) {
         long gapMillis = nowMillis - lastTickMillis;
         lastTickMillis = nowMillis;
-        if (gapMillis > 2 * settings.periodMillis()) {
-            // Answers may have arrived unread, so neither the running probe nor suspicions count for this time.
+        if (gapMillis > 2 * settings.probePeriodMillis()) {
+            // Packets may wait unread, so the pending probe is cancelled and suspicions are extended by the pause.
             counters.add(SwimCounter.LOCAL_PAUSES, 1);
-            prober.forgetProbe(nowMillis);
-            table.shiftSuspicions(gapMillis);
+            prober.cancelProbes(nowMillis);
+            table.extendSuspicions(gapMillis);
         }
         table.tick(nowMillis);
         prober.tick(nowMillis);
-        sync.tick(nowMillis);
+        tableSync.tick(nowMillis);
         gossip(nowMillis);
-        revisions.tick(nowMillis);
-        hints.tick(nowMillis);
+        revisionFanout.tick(nowMillis);
+        hintExchange.tick(nowMillis);
     }
 
-    /** Takes a packet. */
+    /** Handles a received packet. */
     public void receive(String fromAddress, SwimMessage message, long nowMillis) {
         counters.add(SwimCounter.PACKETS_RECEIVED, 1);
-        counters.add(SwimCounter.BYTES_RECEIVED, message.sizeBytes() + SwimMessage.HEADER_BYTES);
+        counters.add(SwimCounter.BYTES_RECEIVED, message.sizeBytes() + SwimMessage.IP_UDP_HEADER_BYTES);
         if (message.sender().isEmpty()
                 || message.senderAddress().equals(table.self().address())) {
             return;
         }
         boolean changed = mergeMembers(message, nowMillis);
-        message.hints().forEach(hint -> hints.receive(hint, nowMillis));
+        message.hints().forEach(hint -> hintExchange.receive(hint, nowMillis));
         Optional<MemberEntry> sender = table.find(message.sender());
-        sender.ifPresent(entry -> table.hearRevision(entry, message.configRevision()));
+        sender.ifPresent(entry -> table.updateConfigRevision(entry, message.configRevision()));
         if (sender.isEmpty() && message.type() != SwimMessage.Type.JOIN && message.type() != SwimMessage.Type.SYNC) {
-            sync.introduce(fromAddress, nowMillis);
+            tableSync.requestRecord(fromAddress, nowMillis);
         }
         dispatch(fromAddress, message, changed, nowMillis);
     }
 
-    /** Sets the revision of the configuration in force here. */
+    /** Sets the revision of the configuration in force at this member. */
     public void setConfigRevision(long revision) {
         if (revision != table.self().configRevision()) {
             table.setSelf(table.self().withConfigRevision(revision), false);
-            revisions.revisionChanged();
+            revisionFanout.revisionChanged();
         }
     }
 
-    /** Changes the address of this member, as bound at the start. */
+    /** Sets the address of this member once its socket is bound. */
     public void setAddress(String address) {
         table.setSelf(table.self().withAddress(address), false);
     }
 
-    /** Tells the others that this member takes no new work. */
+    /** Announces to the other members that this one accepts no new work. */
     public void announceLeaving(long nowMillis) {
         if (table.self().status() == MemberStatus.LEAVING) {
             return;
@@ -125,16 +125,16 @@
         sendUpdates(LEAVING_FANOUT, nowMillis);
     }
 
-    /** Publishes an own hint. */
+    /** Sends a hint to the members in its scope. */
     public void publish(Hint hint, long nowMillis) {
-        hints.publish(hint, nowMillis);
+        hintExchange.publish(hint, nowMillis);
     }
 
     public MembershipSnapshot snapshot() {
         return table.snapshot();
     }
 
-    /** Changes whenever {@link #snapshot()} would. */
+    /** Returns a number that changes whenever the result of {@link #snapshot()} changes. */
     public long version() {
         return table.version();
     }
@@ -144,28 +144,29 @@
     }
 
     private void memberForgotten(MemberRecord last) {
-        hints.forget(last.name());
+        hintExchange.forget(last.name());
     }
 
     private boolean mergeMembers(SwimMessage message, long nowMillis) {
         boolean changed = false;
-        // What a joining member reads from tables of others is no news; passing it on would fill the packets of a herd.
-        boolean passOn = message.type() != SwimMessage.Type.SYNC || !sync.isJoining();
-        for (MemberRecord heard : message.members()) {
-            MemberTable.Merge merge = table.merge(heard, passOn, nowMillis);
-            changed |= merge == MemberTable.Merge.APPLIED;
-            if (merge == MemberTable.Merge.CONTESTED && message.type() == SwimMessage.Type.SYNC) {
-                contest(heard, nowMillis);
+        // Records from the initial synchronization are known to others; disseminating them would fill the packets when
+        // many members join at once.
+        boolean disseminate = message.type() != SwimMessage.Type.SYNC || !tableSync.isInitialSync();
+        for (MemberRecord received : message.members()) {
+            MemberTable.MergeResult result = table.merge(received, disseminate, nowMillis);
+            changed |= result == MemberTable.MergeResult.APPLIED;
+            if (result == MemberTable.MergeResult.DEATH_DISPUTED && message.type() == SwimMessage.Type.SYNC) {
+                requestRefutation(received, nowMillis);
             }
         }
         return changed;
     }
 
-    /** Tells a member that others see live that it is held dead here, so that it refutes; it alone may do so. */
-    private void contest(MemberRecord heard, long nowMillis) {
-        MemberEntry entry = table.find(heard.name()).orElseThrow();
-        if (nowMillis - entry.contestedMillis >= 2 * settings.suspicionMillis()) {
-            entry.contestedMillis = nowMillis;
+    /** Probes a member that is dead here but not elsewhere, so that it refutes the death; only the member itself may. */
+    private void requestRefutation(MemberRecord received, long nowMillis) {
+        MemberEntry entry = table.find(received.name()).orElseThrow();
+        if (nowMillis - entry.lastRefutationRequestMillis >= 2 * settings.suspicionMillis()) {
+            entry.lastRefutationRequestMillis = nowMillis;
             prober.pingNow(entry, nowMillis);
         }
     }
@@ -176,27 +177,29 @@
                 if (message.target().equals(table.self().name())) {
                     prober.onPing(fromAddress, message, corrections(message), nowMillis);
                 } else {
-                    // The address belonged to another member before; an answer would keep that one alive.
+                    // The address belonged to another member before; an acknowledgement would keep that member alive.
                     counters.add(SwimCounter.WRONG_TARGETS, 1);
                 }
             }
             case ACK -> prober.onAck(message, nowMillis);
             case PING_REQ -> prober.onPingRequest(fromAddress, message, nowMillis);
-            case JOIN -> sync.onJoin(fromAddress, message, corrections(message), nowMillis);
-            case SYNC -> sync.onSync(fromAddress, message, changed, nowMillis);
+            case JOIN -> tableSync.onJoin(fromAddress, message, corrections(message), nowMillis);
+            case SYNC -> tableSync.onSync(fromAddress, message, changed, nowMillis);
             case GOSSIP -> {}
-            default -> throw new IllegalStateException("unhandled type " + message.type());
+            default -> throw new IllegalStateException("unhandled message type " + message.type());
         }
     }
 
-    /** What is held of the sender here, when it differs from what the sender says of itself. */
+    /** Returns the record of the sender here when it contradicts what the sender reports about itself. */
     private List<MemberRecord> corrections(SwimMessage message) {
         List<MemberRecord> corrections = new ArrayList<>(1);
-        table.find(message.sender()).map(entry -> entry.record).ifPresent(held -> {
-            boolean older = message.members().stream()
-                    .anyMatch(said -> said.name().equals(held.name()) && held.supersedes(said));
-            if (older || held.status() != MemberStatus.ALIVE || !held.address().equals(message.senderAddress())) {
-                corrections.add(held);
+        table.find(message.sender()).map(entry -> entry.record).ifPresent(known -> {
+            boolean outdated = message.members().stream()
+                    .anyMatch(reported -> reported.name().equals(known.name()) && known.supersedes(reported));
+            if (outdated
+                    || known.status() != MemberStatus.ALIVE
+                    || !known.address().equals(message.senderAddress())) {
+                corrections.add(known);
             }
         });
         return corrections;
@@ -207,14 +210,14 @@
             return;
         }
         nextGossipMillis = nowMillis + settings.gossipPeriodMillis();
-        if (!broadcasts.isEmpty()) {
+        if (!disseminationQueue.isEmpty()) {
             sendUpdates(settings.gossipFanout(), nowMillis);
         }
     }
 
     private void sendUpdates(int count, long nowMillis) {
-        for (MemberEntry entry : table.random(count, "", random)) {
-            outbox.sendWithUpdates(
+        for (MemberEntry entry : table.randomReachable(count, "", random)) {
+            packetSender.sendWithUpdates(
                     entry.record.address(), SwimMessage.of(SwimMessage.Type.GOSSIP, 0), Priority.GOSSIP, nowMillis);
         }
     }
--- a/agatelane-core/src/main/java/io/agatelane/core/membership/command/TableSync.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/membership/command/TableSync.java
@@ -16,42 +16,43 @@
 import java.util.Set;
 
 /**
- * Joins, and healing of network partitions. A JOIN is answered by a page of the receiver's table; further pages are
- * asked of random members one by one, so that a herd of joining members spreads its load.
+ * Joining and anti-entropy, which also heals network partitions. The response to a JOIN is a page of the receiver's
+ * table. Further pages are requested one by one from random members, so that many members that join at once (thundering
+ * herd) spread their load.
  */
 final class TableSync {
-    /** Addresses that are tried in one round. */
+    /** Number of addresses contacted in one round. */
     private static final int ADDRESSES_PER_ROUND = 3;
-    /** One page in this time is about half of the sending budget of the member that answers. */
+    /** One page per this time takes about half of the sending budget of the responding member. */
     private static final long PAGE_PERIOD_MILLIS = 200;
 
-    private static final int MAX_TRIES_PER_PAGE = 6;
-    /** A table that still changes after this many passes is left to the next healing round. */
+    private static final int MAX_ATTEMPTS_PER_PAGE = 6;
+    /** A synchronization that still finds changes after this many passes ends; the next healing round continues. */
     private static final int MAX_PASSES = 20;
-    /** Members that start together know little at first, so a pass without news is repeated with growing delay. */
+    /** Members that start together know few others at first, so an unchanged pass is repeated with a growing delay. */
     private static final int MAX_UNCHANGED_PASSES = 4;
 
     private static final int MAX_OPEN_REQUESTS = 64;
 
     private final SwimSettings settings;
     private final MemberTable table;
-    private final Outbox outbox;
+    private final PacketSender packetSender;
     private final Random random;
     private final Set<String> seeds = new LinkedHashSet<>();
-    private final Map<String, String> listed = new HashMap<>();
-    private final Map<Long, String> open = new LinkedHashMap<>();
+    private final Map<String, String> platformAddresses = new HashMap<>();
+    private final Map<Long, String> openRequests = new LinkedHashMap<>();
     private boolean joined;
-    private boolean joining = true;
-    private Session session;
+    private boolean initialSync = true;
+    private SyncSession session;
     private long sequence;
     private long nextJoinMillis;
     private long nextHealMillis;
-    private long introducedMillis = Long.MIN_VALUE / 2;
+    private long lastRecordRequestMillis = Long.MIN_VALUE / 2;
 
-    TableSync(SwimSettings settings, MemberTable table, Outbox outbox, Random random) {
+    TableSync(SwimSettings settings, MemberTable table, PacketSender packetSender, Random random) {
         this.settings = settings;
         this.table = table;
-        this.outbox = outbox;
+        this.packetSender = packetSender;
         this.random = random;
         this.sequence = random.nextInt() & 0xFFFFFFFFL;
     }
@@ -62,91 +63,96 @@
         nextHealMillis = nowMillis + settings.healPeriodMillis() / 2 + random.nextLong(settings.healPeriodMillis());
     }
 
-    /** Replaces what the platform lists. */
-    void learn(List<MemberRecord> records, long nowMillis) {
-        listed.clear();
+    /** Replaces the platform's list of members and adds the unknown ones to the table. */
+    void updatePlatformMembers(List<MemberRecord> records, long nowMillis) {
+        platformAddresses.clear();
         for (MemberRecord platformRecord : records) {
-            listed.put(platformRecord.name(), platformRecord.address());
-            table.learn(platformRecord, nowMillis);
+            platformAddresses.put(platformRecord.name(), platformRecord.address());
+            table.addPlatformMember(platformRecord, nowMillis);
         }
     }
 
     void tick(long nowMillis) {
         if (!joined && nowMillis >= nextJoinMillis) {
-            nextJoinMillis = nowMillis + settings.periodMillis();
-            sendJoins(missingAddresses(), nowMillis);
+            nextJoinMillis = nowMillis + settings.probePeriodMillis();
+            sendJoins(unreachedAddresses(), nowMillis);
         }
         if (nowMillis >= nextHealMillis) {
             nextHealMillis = nowMillis + settings.healPeriodMillis();
-            heal(nowMillis);
+            healPartitions(nowMillis);
         }
         if (session != null && nowMillis >= session.nextMillis) {
             continueSession(nowMillis);
         }
     }
 
-    /** Whether the first reading of another member's table is not complete yet. */
-    boolean isJoining() {
-        return joining;
+    /** Whether the first synchronization with another member's table is not complete yet. */
+    boolean isInitialSync() {
+        return initialSync;
     }
 
-    /** Asks a member that is unknown here for its entry; at most once in each gossip period. */
-    void introduce(String address, long nowMillis) {
-        if (nowMillis - introducedMillis >= settings.gossipPeriodMillis()) {
-            introducedMillis = nowMillis;
+    /** Requests the record of a member that is unknown here; at most one request is sent in each gossip period. */
+    void requestRecord(String address, long nowMillis) {
+        if (nowMillis - lastRecordRequestMillis >= settings.gossipPeriodMillis()) {
+            lastRecordRequestMillis = nowMillis;
             sendJoin(address, "", nowMillis);
         }
     }
 
-    /** Answers with a page of the table, or with the own entry alone when the tables are equal. */
+    /** Responds with a page of the table, or with the local record and corrections alone when the tables are equal. */
     void onJoin(String fromAddress, SwimMessage join, List<MemberRecord> corrections, long nowMillis) {
         long hash = table.hash();
         List<MemberRecord> page = new ArrayList<>();
         page.add(table.self());
         page.addAll(corrections);
-        SwimMessage answer =
+        SwimMessage response =
                 SwimMessage.of(SwimMessage.Type.SYNC, join.sequence()).withPage("", hash);
         String cursor = "";
         if (join.tableHash() != hash) {
-            int free = outbox.freeBytes(answer.withContent(page, List.of())) - MemberRecord.MAX_TEXT_BYTES;
-            String last = "";
+            int free = packetSender.freeBytes(response.withContent(page, List.of())) - MemberRecord.MAX_TEXT_BYTES;
+            String lastName = "";
             for (MemberEntry entry : table.othersAfter(join.cursor())) {
                 MemberRecord member = entry.record;
                 if (member.status() == MemberStatus.DEAD || member.name().equals(join.sender())) {
-                    // A death is not passed on by pages: the other side of a healed partition may know better.
+                    // Pages do not carry deaths: after a healed partition the other side may have newer information.
                     continue;
                 }
                 if (member.sizeBytes() > free) {
-                    cursor = last;
+                    cursor = lastName;
                     break;
                 }
                 free -= member.sizeBytes();
                 page.add(member);
-                last = member.name();
+                lastName = member.name();
             }
         }
-        outbox.send(fromAddress, answer.withPage(cursor, hash).withContent(page, List.of()), Priority.TABLE, nowMillis);
+        packetSender.send(
+                fromAddress, response.withPage(cursor, hash).withContent(page, List.of()), Priority.TABLE, nowMillis);
     }
 
-    /** Takes a page; its entries are merged already. */
+    /**
+     * Handles a received page after its records were merged.
+     *
+     * @param changed whether the records changed the table
+     */
     void onSync(String fromAddress, SwimMessage sync, boolean changed, long nowMillis) {
         joined = true;
-        boolean equal = sync.tableHash() == table.hash();
-        joining &= !equal;
+        boolean tablesEqual = sync.tableHash() == table.hash();
+        initialSync &= !tablesEqual;
         if (session != null && session.sequence == sync.sequence()) {
             session.changed |= changed;
-            session.tries = 0;
+            session.attempts = 0;
             session.nextMillis = nowMillis + PAGE_PERIOD_MILLIS;
             session.sequence = 0;
-            if (equal) {
+            if (tablesEqual) {
                 endSession();
             } else if (sync.cursor().isEmpty()) {
                 endPass(nowMillis);
             } else {
                 session.cursor = sync.cursor();
             }
-        } else if (open.remove(sync.sequence()) != null && session == null && !equal) {
-            session = new Session(fromAddress, sync.cursor(), nowMillis + PAGE_PERIOD_MILLIS);
+        } else if (openRequests.remove(sync.sequence()) != null && session == null && !tablesEqual) {
+            session = new SyncSession(fromAddress, sync.cursor(), nowMillis + PAGE_PERIOD_MILLIS);
             session.changed = changed;
             if (sync.cursor().isEmpty()) {
                 endPass(nowMillis);
@@ -163,40 +169,40 @@
         }
         session.changed = false;
         session.cursor = "";
-        session.nextMillis = nowMillis + (settings.periodMillis() << session.unchangedPasses);
+        session.nextMillis = nowMillis + (settings.probePeriodMillis() << session.unchangedPasses);
     }
 
     private void endSession() {
         session = null;
-        joining = false;
+        initialSync = false;
     }
 
     private void continueSession(long nowMillis) {
-        session.tries++;
-        if (session.tries > MAX_TRIES_PER_PAGE) {
+        session.attempts++;
+        if (session.attempts > MAX_ATTEMPTS_PER_PAGE) {
             endSession();
             return;
         }
-        List<MemberEntry> helpers = table.random(1, "", random);
-        String address = helpers.isEmpty() || (session.pass == 0 && random.nextBoolean())
+        List<MemberEntry> candidates = table.randomReachable(1, "", random);
+        String address = candidates.isEmpty() || (session.pass == 0 && random.nextBoolean())
                 ? session.address
-                : helpers.get(0).record.address();
+                : candidates.get(0).record.address();
         session.sequence = sendJoin(address, session.cursor, nowMillis);
-        session.nextMillis = nowMillis + settings.periodMillis();
+        session.nextMillis = nowMillis + settings.probePeriodMillis();
     }
 
-    private void heal(long nowMillis) {
-        List<String> addresses = missingAddresses();
+    private void healPartitions(long nowMillis) {
+        List<String> addresses = unreachedAddresses();
         sendJoins(addresses, nowMillis);
-        for (MemberEntry entry : table.random(1, "", random)) {
+        for (MemberEntry entry : table.randomReachable(1, "", random)) {
             sendJoin(entry.record.address(), "", nowMillis);
         }
     }
 
-    /** Addresses known from seeds, the platform's list or dead members that belong to no reachable member. */
-    private List<String> missingAddresses() {
+    /** Returns known addresses (of seeds, the platform's list and dead members) that belong to no reachable member. */
+    private List<String> unreachedAddresses() {
         Set<String> addresses = new LinkedHashSet<>(seeds);
-        addresses.addAll(listed.values());
+        addresses.addAll(platformAddresses.values());
         for (MemberEntry entry : table.others()) {
             addresses.add(entry.record.address());
         }
@@ -215,29 +221,29 @@
     }
 
     private long sendJoin(String address, String cursor, long nowMillis) {
-        long number = ++sequence;
-        if (open.size() >= MAX_OPEN_REQUESTS) {
-            open.remove(open.keySet().iterator().next());
+        long requestSequence = ++sequence;
+        if (openRequests.size() >= MAX_OPEN_REQUESTS) {
+            openRequests.remove(openRequests.keySet().iterator().next());
         }
-        open.put(number, address);
-        SwimMessage join = SwimMessage.of(SwimMessage.Type.JOIN, number)
+        openRequests.put(requestSequence, address);
+        SwimMessage join = SwimMessage.of(SwimMessage.Type.JOIN, requestSequence)
                 .withPage(cursor, table.hash())
                 .withContent(List.of(table.self()), List.of());
-        outbox.send(address, join, Priority.TABLE, nowMillis);
-        return number;
+        packetSender.send(address, join, Priority.TABLE, nowMillis);
+        return requestSequence;
     }
 
-    private static final class Session {
+    private static final class SyncSession {
         private final String address;
         private String cursor;
         private long nextMillis;
         private long sequence;
-        private int tries;
+        private int attempts;
         private int pass;
         private int unchangedPasses;
         private boolean changed;
 
-        private Session(String address, String cursor, long nextMillis) {
+        private SyncSession(String address, String cursor, long nextMillis) {
             this.address = address;
             this.cursor = cursor;
             this.nextMillis = nextMillis;
--- a/agatelane-core/src/main/java/io/agatelane/core/membership/command/package-info.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/membership/command/package-info.java
@@ -1,2 +1,2 @@
-/** State machine of the membership protocol; one thread drives it by packets and ticks. */
+/** State machine of the membership protocol, driven by packets and ticks on a single thread. */
 package io.agatelane.core.membership.command;
--- a/agatelane-core/src/main/java/io/agatelane/core/membership/package-info.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/membership/package-info.java
@@ -1,2 +1,2 @@
-/** Membership of routers by SWIM: values and settings of the protocol. */
+/** Membership of the routers by the SWIM protocol: messages, member records and settings. */
 package io.agatelane.core.membership;
--- a/agatelane-core/src/main/java/io/agatelane/core/membership/query/MembershipSnapshot.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/membership/query/MembershipSnapshot.java
@@ -4,17 +4,17 @@
 import java.util.List;
 
 /**
- * The table of members at one moment.
+ * An immutable copy of the member table.
  *
- * @param version changes with the table
- * @param members all members in name order, the own one included
+ * @param version number that changes with every change of the table
+ * @param members all members in name order, including {@code self}
  */
 public record MembershipSnapshot(long version, MemberRecord self, List<MemberRecord> members) {
     public MembershipSnapshot {
         members = List.copyOf(members);
     }
 
-    /** Members that take new work, in name order. */
+    /** Returns the members that accept new work, in name order. */
     public List<MemberRecord> live() {
         return members.stream().filter(member -> member.status().isLive()).toList();
     }
--- a/agatelane-core/src/main/java/io/agatelane/core/membership/query/SwimCounter.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/membership/query/SwimCounter.java
@@ -1,6 +1,6 @@
 package io.agatelane.core.membership.query;
 
-/** What the protocol counts. */
+/** Counters of the protocol, exported as metrics: {@code gossip.} followed by the name in lower case. */
 public enum SwimCounter {
     PACKETS_SENT,
     PACKETS_RECEIVED,
@@ -10,17 +10,17 @@
     PACKETS_THROTTLED,
     HINTS_EXPIRED_UNSENT,
     INDIRECT_PROBES,
-    /** Suspicions that began here. */
+    /** Suspicions that this member started. */
     SUSPICIONS,
-    /** Entries about this member that it refuted. */
+    /** Records about this member that it refuted. */
     REFUTATIONS,
-    /** Members declared dead here. */
+    /** Members that this member declared dead. */
     DEATHS_DECLARED,
     RESTARTS_SEEN,
-    /** Entries about this member that name another address at its own incarnation: another VM has its name. */
+    /** Records about this member with its incarnation but another address: another VM uses the same name. */
     NAME_CONFLICTS,
-    /** Times at which this process was not running for longer than a probe takes. */
+    /** Pauses of this process that were longer than two probe periods. */
     LOCAL_PAUSES,
-    /** Probes for another name at this address. */
+    /** Probes that reached this address but were meant for a member of another name. */
     WRONG_TARGETS
 }
--- a/agatelane-core/src/main/java/io/agatelane/core/membership/query/SwimCounters.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/membership/query/SwimCounters.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** Counters of one protocol instance; written by its thread, readable on every thread. */
+/** Counter values of one protocol instance; written by its thread, readable on every thread. */
 public final class SwimCounters {
     private final Map<SwimCounter, AtomicLong> values = new EnumMap<>(SwimCounter.class);
 
--- a/agatelane-core/src/main/java/io/agatelane/core/membership/query/package-info.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/membership/query/package-info.java
@@ -1,2 +1,2 @@
-/** Read-only views of the membership. */
+/** Read-only views and counters of the membership. */
 package io.agatelane.core.membership.query;
--- a/agatelane-core/src/test/java/io/agatelane/core/membership/SimulatedNetwork.java
+++ b/agatelane-core/src/test/java/io/agatelane/core/membership/SimulatedNetwork.java
@@ -13,24 +13,24 @@
 import java.util.TreeMap;
 import java.util.function.BiPredicate;
 
-/** Datagrams between protocol instances in simulated time, with latency, loss, cuts, crashes and pauses. */
+/** Connects protocol instances in simulated time, with latency, packet loss, blocked links, crashes and pauses. */
 final class SimulatedNetwork {
-    /** Packets that wait in a socket's buffer; more are lost, as with a real socket. */
+    /** Capacity of a socket's receive buffer; packets beyond it are lost, as with a real socket. */
     private static final int SOCKET_BUFFER_PACKETS = 150;
 
     private final PriorityQueue<Event> events =
-            new PriorityQueue<>(Comparator.<Event>comparingLong(e -> e.millis).thenComparingLong(e -> e.order));
+            new PriorityQueue<>(Comparator.<Event>comparingLong(e -> e.millis).thenComparingLong(e -> e.sequence));
     private final Map<String, Node> nodesByName = new TreeMap<>();
     private final Map<String, Node> nodesByAddress = new TreeMap<>();
     private final Random random;
     private final SwimSettings settings;
-    final List<Change> changes = new ArrayList<>();
+    final List<StatusChange> changes = new ArrayList<>();
     final List<Hint> hintsReceived = new ArrayList<>();
-    double loss;
-    BiPredicate<Node, Node> cut = (from, to) -> false;
+    double lossRatio;
+    BiPredicate<Node, Node> blocked = (from, to) -> false;
     int largestPacketBytes;
     private long nowMillis;
-    private long order;
+    private long sequence;
 
     SimulatedNetwork(long seed) {
         this(seed, SwimSettings.DEFAULT);
@@ -41,9 +41,9 @@
         this.settings = settings;
     }
 
-    record Change(long millis, String observer, String subject, MemberStatus from, MemberStatus to) {}
+    record StatusChange(long millis, String observer, String subject, MemberStatus from, MemberStatus to) {}
 
-    /** Adds members r0 to r(n-1) spread over zones and regions, and starts them through two seeds. */
+    /** Adds members r0 to r(n-1) spread over zones and regions, and starts them with r0 and r1 as seeds. */
     void startAll(int count, int zones, int zonesPerRegion) {
         for (int i = 0; i < count; i++) {
             int zone = i % zones;
@@ -59,7 +59,7 @@
         return node;
     }
 
-    /** Starts a process that knows only the two seeds r0 and r1; an earlier one of the node has ended. */
+    /** Starts a process that knows only the two seeds r0 and r1; an earlier process of the node must have ended. */
     void start(Node node) {
         node.start(1_000_000 + nowMillis);
     }
@@ -86,11 +86,11 @@
         nowMillis = end;
     }
 
-    /** Runs until each running member sees exactly the running ones as live. Returns the time that took, or -1. */
+    /** Runs until each running member sees exactly the running ones as live. Returns the time taken; -1 on timeout. */
     long runUntilConsistent(long limitMillis) {
         long start = nowMillis;
         while (nowMillis - start <= limitMillis) {
-            if (consistent()) {
+            if (isConsistent()) {
                 return nowMillis - start;
             }
             run(50);
@@ -98,7 +98,7 @@
         return -1;
     }
 
-    boolean consistent() {
+    boolean isConsistent() {
         List<String> expected = running().stream().map(node -> node.name).toList();
         return running().stream().allMatch(node -> node.live().equals(expected));
     }
@@ -109,40 +109,40 @@
                 .sum();
     }
 
-    /** Deaths that some member declared or heard of while the subject was running. */
+    /** Number of deaths that members declared or received from others, although the subject is running. */
     long falseDeaths() {
         return changes.stream()
                 .filter(change -> change.to == MemberStatus.DEAD && nodesByName.get(change.subject).running)
                 .count();
     }
 
-    private void at(long millis, Runnable action) {
-        events.add(new Event(millis, order++, action));
+    private void schedule(long millis, Runnable action) {
+        events.add(new Event(millis, sequence++, action));
     }
 
     private void deliver(Node from, String address, SwimMessage message) {
         largestPacketBytes = Math.max(largestPacketBytes, message.sizeBytes());
         Node to = nodesByAddress.get(address);
-        if (to == null || random.nextDouble() < loss || cut.test(from, to)) {
+        if (to == null || random.nextDouble() < lossRatio || blocked.test(from, to)) {
             return;
         }
         long latency = from.zone.equals(to.zone) ? 1 : from.region.equals(to.region) ? 3 : 40;
-        at(nowMillis + latency + random.nextInt(3), () -> to.arrived(from.address, message));
+        schedule(nowMillis + latency + random.nextInt(3), () -> to.receive(from.address, message));
     }
 
-    private record Event(long millis, long order, Runnable action) {}
+    private record Event(long millis, long sequence, Runnable action) {}
 
-    /** A VM with its current process. */
+    /** A VM with its current router process. */
     final class Node {
         final String name;
         final String zone;
         final String region;
         final String address;
-        private final ArrayDeque<Runnable> buffer = new ArrayDeque<>();
+        private final ArrayDeque<Runnable> socketBuffer = new ArrayDeque<>();
         SwimProtocol protocol;
         boolean running;
         boolean paused;
-        private int process;
+        private int processNumber;
 
         private Node(String name, String zone, String region, String address) {
             this.name = name;
@@ -152,22 +152,22 @@
         }
 
         void start(long incarnation) {
-            process++;
+            processNumber++;
             running = true;
             MemberRecord self = new MemberRecord(name, MemberStatus.ALIVE, incarnation, address, zone, region, 0);
             protocol = new SwimProtocol(settings, self, random.nextLong(), new Listener());
             List<String> seeds = List.of(node("r0").address, node("r1").address);
-            int started = process;
-            at(nowMillis + random.nextInt(100), () -> {
+            int startedProcess = processNumber;
+            schedule(nowMillis + random.nextInt(100), () -> {
                 protocol.start(seeds, nowMillis);
-                scheduleTick(started);
+                scheduleTick(startedProcess);
             });
         }
 
         void crash() {
             running = false;
-            process++;
-            buffer.clear();
+            processNumber++;
+            socketBuffer.clear();
         }
 
         void pause() {
@@ -176,10 +176,10 @@
 
         void resume() {
             paused = false;
-            // The timer may run before the packets that arrived during the pause are read.
+            // The timer may run before the packets that arrived during the pause are received.
             protocol.tick(nowMillis);
-            while (!buffer.isEmpty()) {
-                buffer.poll().run();
+            while (!socketBuffer.isEmpty()) {
+                socketBuffer.poll().run();
             }
         }
 
@@ -187,32 +187,32 @@
             return protocol.snapshot().live().stream().map(MemberRecord::name).toList();
         }
 
-        Optional<MemberRecord> sees(String other) {
+        Optional<MemberRecord> recordOf(String other) {
             return protocol.snapshot().members().stream()
                     .filter(member -> member.name().equals(other))
                     .findFirst();
         }
 
-        private void scheduleTick(int started) {
-            at(nowMillis + SwimProtocol.TICK_MILLIS, () -> {
-                if (running && process == started) {
+        private void scheduleTick(int startedProcess) {
+            schedule(nowMillis + SwimProtocol.TICK_MILLIS, () -> {
+                if (running && processNumber == startedProcess) {
                     if (!paused) {
                         protocol.tick(nowMillis);
                     }
-                    scheduleTick(started);
+                    scheduleTick(startedProcess);
                 }
             });
         }
 
-        private void arrived(String from, SwimMessage message) {
+        private void receive(String from, SwimMessage message) {
             if (!running) {
                 return;
             }
             Runnable action = () -> protocol.receive(from, message, nowMillis);
             if (!paused) {
                 action.run();
-            } else if (buffer.size() < SOCKET_BUFFER_PACKETS) {
-                buffer.add(action);
+            } else if (socketBuffer.size() < SOCKET_BUFFER_PACKETS) {
+                socketBuffer.add(action);
             }
         }
 
@@ -226,7 +226,7 @@
             public void memberChanged(Optional<MemberRecord> before, MemberRecord after) {
                 MemberStatus from = before.map(MemberRecord::status).orElse(null);
                 if (from != after.status()) {
-                    changes.add(new Change(nowMillis, name, after.name(), from, after.status()));
+                    changes.add(new StatusChange(nowMillis, name, after.name(), from, after.status()));
                 }
             }
 
@@ -236,13 +236,13 @@
             @Override
             public void hintReceived(Hint hint) {
                 hintsReceived.add(hint);
-                received.add(hint.key());
+                receivedHintKeys.add(hint.key());
             }
 
             @Override
             public void memberForgotten(MemberRecord last) {}
         }
 
-        final List<String> received = new ArrayList<>();
+        final List<String> receivedHintKeys = new ArrayList<>();
     }
 }
--- a/agatelane-core/src/test/java/io/agatelane/core/membership/SwimFailureTest.java
+++ b/agatelane-core/src/test/java/io/agatelane/core/membership/SwimFailureTest.java
@@ -14,41 +14,40 @@
 import org.testng.annotations.Test;
 
 public final class SwimFailureTest {
-    // Guards against one-way failures of a path being taken for failures of a member.
+    // Guards against the one-way failure of a network path being taken for the failure of a member.
     @Test
-    public void oneWayCutKillsNobody() {
-        SimulatedNetwork network = joined(1, 12, 3);
-        network.cut = (from, to) -> from.name.equals("r3") && to.name.equals("r4");
+    public void oneWayPathFailureCausesNoDeath() {
+        SimulatedNetwork network = joinedNetwork(1, 12, 3);
+        network.blocked = (from, to) -> from.name.equals("r3") && to.name.equals("r4");
         network.run(120_000);
         assertEquals(network.falseDeaths(), 0);
         assertTrue(network.total(SwimCounter.INDIRECT_PROBES) > 0);
     }
 
-    // Guards against a paused member that stays dead, and against one that takes the others for dead after its pause.
+    // Guards against a paused member that stays dead, and against one that declares others dead after its pause.
     @Test
-    public void pausedMemberReturnsAndAccusesNobody() {
-        SimulatedNetwork network = joined(2, 12, 3);
+    public void pausedMemberRejoinsAndDeclaresNobodyDead() {
+        SimulatedNetwork network = joinedNetwork(2, 12, 3);
         SimulatedNetwork.Node paused = network.node("r5");
         paused.pause();
         network.run(10_000);
-        assertEquals(network.node("r0").sees("r5").orElseThrow().status(), MemberStatus.DEAD);
+        assertEquals(network.node("r0").recordOf("r5").orElseThrow().status(), MemberStatus.DEAD);
         paused.resume();
         assertTrue(network.runUntilConsistent(10_000) >= 0);
         network.run(10_000);
-        assertTrue(network.consistent());
+        assertTrue(network.isConsistent());
         assertTrue(network.changes.stream()
                 .noneMatch(change -> change.observer().equals("r5") && change.to() == MemberStatus.DEAD));
     }
 
-    // Guards against a suspicion that ends in death after a pause of this process, in which no refutation could be
-    // read.
+    // Guards against a suspicion that ends in a death because the observer was paused and received no refutation.
     @Test
-    public void suspicionDoesNotRunDuringAnOwnPause() {
-        SimulatedNetwork network = joined(15, 12, 3);
+    public void suspicionTimeoutExcludesLocalPause() {
+        SimulatedNetwork network = joinedNetwork(15, 12, 3);
         SimulatedNetwork.Node observer = network.node("r5");
         SimulatedNetwork.Node suspect = network.node("r6");
         suspect.pause();
-        while (observer.sees("r6").orElseThrow().status() != MemberStatus.SUSPECT) {
+        while (observer.recordOf("r6").orElseThrow().status() != MemberStatus.SUSPECT) {
             network.run(50);
         }
         observer.pause();
@@ -56,15 +55,15 @@
         network.run(5_000);
         observer.resume();
         network.run(5_000);
-        assertTrue(network.consistent());
+        assertTrue(network.isConsistent());
         assertTrue(network.changes.stream()
                 .noneMatch(change -> change.observer().equals("r5") && change.to() == MemberStatus.DEAD));
     }
 
-    // Guards against a pause shorter than a suspicion that costs a member its state.
+    // Guards against a member being declared dead after a pause that is shorter than the suspicion timeout.
     @Test
-    public void shortPauseKillsNobody() {
-        SimulatedNetwork network = joined(3, 12, 3);
+    public void shortPauseCausesNoDeath() {
+        SimulatedNetwork network = joinedNetwork(3, 12, 3);
         for (int i = 2; i < 12; i++) {
             network.node("r" + i).pause();
             network.run(1_500);
@@ -74,28 +73,28 @@
         assertEquals(network.falseDeaths(), 0);
     }
 
-    // Guards against sides of a healed network partition that hold each other dead for good.
+    // Guards against sides of a healed network partition that regard each other as dead permanently.
     @Test
-    public void zoneCutOffAndHealed() {
-        SimulatedNetwork network = joined(4, 30, 3);
-        network.cut = (from, to) -> from.zone.equals("zone-2") != to.zone.equals("zone-2");
+    public void healsAfterZonePartition() {
+        SimulatedNetwork network = joinedNetwork(4, 30, 3);
+        network.blocked = (from, to) -> from.zone.equals("zone-2") != to.zone.equals("zone-2");
         network.run(60_000);
         assertEquals(network.node("r0").live().size(), 20);
         assertEquals(network.node("r2").live().size(), 10);
-        network.cut = (from, to) -> false;
+        network.blocked = (from, to) -> false;
         long healedMillis = network.runUntilConsistent(90_000);
         System.out.printf("zone_heal_ms=%d members=30%n", healedMillis);
         assertTrue(healedMillis >= 0);
     }
 
-    // Guards against healing that relies on the memory of dead members, which ends after 10 minutes.
+    // Guards against healing that depends on the entries of dead members, which are removed after 10 minutes.
     @Test
-    public void healsThroughSeedsAfterTheDeadAreForgotten() {
-        SimulatedNetwork network = joined(5, 9, 3);
-        network.cut = (from, to) -> from.zone.equals("zone-2") != to.zone.equals("zone-2");
+    public void healsThroughSeedsAfterDeadMembersAreRemoved() {
+        SimulatedNetwork network = joinedNetwork(5, 9, 3);
+        network.blocked = (from, to) -> from.zone.equals("zone-2") != to.zone.equals("zone-2");
         network.run(700_000);
         assertEquals(network.node("r0").protocol.snapshot().members().size(), 6);
-        network.cut = (from, to) -> false;
+        network.blocked = (from, to) -> false;
         assertTrue(network.runUntilConsistent(90_000) >= 0);
     }
 
@@ -104,12 +103,12 @@
         return new Object[][] {{9, 6}, {9, 7}, {9, 8}, {50, 6}, {50, 7}, {50, 8}};
     }
 
-    // Guards against suspicions by lost packets that end in death although the member is running.
+    // Guards against suspicions caused by lost packets that end in a death although the member is running.
     @Test(dataProvider = "lossySizes")
     public void survivesTwentyPercentLoss(int count, long seed) {
-        SimulatedNetwork network = joined(seed, count, 3);
+        SimulatedNetwork network = joinedNetwork(seed, count, 3);
         long before = network.total(SwimCounter.SUSPICIONS);
-        network.loss = 0.2;
+        network.lossRatio = 0.2;
         network.run(120_000);
         long suspicions = network.total(SwimCounter.SUSPICIONS) - before;
         System.out.printf(
@@ -117,14 +116,14 @@
                 count, suspicions, network.falseDeaths());
         assertTrue(suspicions > 0, "the test does not reach the suspicion path");
         assertEquals(network.falseDeaths(), 0);
-        network.loss = 0;
+        network.lossRatio = 0;
         assertTrue(network.runUntilConsistent(10_000) >= 0);
     }
 
-    // Guards against restarts of all members at once that leave old entries in force.
+    // Guards against outdated records that survive a simultaneous restart of all members.
     @Test
-    public void herdOfRestarts() {
-        SimulatedNetwork network = joined(7, 50, 6);
+    public void simultaneousRestartsConverge() {
+        SimulatedNetwork network = joinedNetwork(7, 50, 6);
         network.running().forEach(SimulatedNetwork.Node::crash);
         network.run(2_000);
         for (int i = 0; i < 50; i++) {
@@ -135,10 +134,10 @@
         assertTrue(millis >= 0);
     }
 
-    // Guards against entries of the platform's list that are out of date and stay live.
+    // Guards against outdated entries of the platform's list that stay live.
     @Test
-    public void outdatedListOfThePlatform() {
-        SimulatedNetwork network = joined(14, 50, 6);
+    public void outdatedPlatformListIsCorrected() {
+        SimulatedNetwork network = joinedNetwork(14, 50, 6);
         List<MemberRecord> listed = network.node("r0").protocol.snapshot().members();
         network.running().forEach(SimulatedNetwork.Node::crash);
         for (int i = 0; i < 45; i++) {
@@ -152,76 +151,76 @@
         assertTrue(millis >= 0 && millis < 15_000, "after " + millis);
     }
 
-    // Guards against a restarted member that is taken for its old process, also when its clock went back.
+    // Guards against a restarted member that is taken for its old process, also when its clock was set back.
     @Test
     public void restartIsRecognised() {
-        SimulatedNetwork network = joined(8, 9, 3);
+        SimulatedNetwork network = joinedNetwork(8, 9, 3);
         SimulatedNetwork.Node node = network.node("r4");
-        long old = network.node("r0").sees("r4").orElseThrow().incarnation();
+        long old = network.node("r0").recordOf("r4").orElseThrow().incarnation();
         node.crash();
         network.run(1_000);
         network.start(node);
         assertTrue(network.runUntilConsistent(10_000) >= 0);
         network.run(5_000);
-        assertTrue(network.node("r0").sees("r4").orElseThrow().incarnation() > old);
+        assertTrue(network.node("r0").recordOf("r4").orElseThrow().incarnation() > old);
         assertTrue(network.total(SwimCounter.RESTARTS_SEEN) > 0);
 
         node.crash();
         network.run(10_000);
-        assertEquals(network.node("r0").sees("r4").orElseThrow().status(), MemberStatus.DEAD);
+        assertEquals(network.node("r0").recordOf("r4").orElseThrow().status(), MemberStatus.DEAD);
         node.start(5);
         assertTrue(network.runUntilConsistent(15_000) >= 0);
     }
 
-    // Guards against a leaving member that looks live again when it has ended, and against one that cannot come back.
+    // Guards against a leaving member that looks live again when it has stopped, and against one that cannot rejoin.
     @Test
-    public void leavingIsNotDeadAndNeverLive() {
-        SimulatedNetwork network = joined(9, 12, 3);
+    public void leavingMemberIsNeitherDeadNorLive() {
+        SimulatedNetwork network = joinedNetwork(9, 12, 3);
         SimulatedNetwork.Node leaving = network.node("r7");
         leaving.protocol.announceLeaving(network.nowMillis());
         network.run(3_000);
         network.running()
-                .forEach(node -> assertEquals(node.sees("r7").orElseThrow().status(), MemberStatus.LEAVING));
+                .forEach(node -> assertEquals(node.recordOf("r7").orElseThrow().status(), MemberStatus.LEAVING));
         network.run(30_000);
-        assertEquals(network.node("r0").sees("r7").orElseThrow().status(), MemberStatus.LEAVING);
+        assertEquals(network.node("r0").recordOf("r7").orElseThrow().status(), MemberStatus.LEAVING);
         leaving.crash();
         network.run(15_000);
-        assertEquals(network.node("r0").sees("r7").orElseThrow().status(), MemberStatus.DEAD);
+        assertEquals(network.node("r0").recordOf("r7").orElseThrow().status(), MemberStatus.DEAD);
         assertTrue(network.changes.stream()
                 .noneMatch(change -> change.subject().equals("r7") && change.to() == MemberStatus.SUSPECT));
         network.start(leaving);
         assertTrue(network.runUntilConsistent(15_000) >= 0);
     }
 
-    // Guards against dead members kept for ever or returning from the tables of others.
+    // Guards against dead members that are never removed or that return from the tables of other members.
     @Test
-    public void deadMembersAreForgotten() {
-        SimulatedNetwork network = joined(10, 9, 3);
+    public void deadMembersAreRemoved() {
+        SimulatedNetwork network = joinedNetwork(10, 9, 3);
         network.node("r8").crash();
         network.run(620_000);
-        network.running().forEach(node -> assertFalse(node.sees("r8").isPresent(), node.name));
+        network.running().forEach(node -> assertFalse(node.recordOf("r8").isPresent(), node.name));
         network.run(120_000);
-        network.running().forEach(node -> assertFalse(node.sees("r8").isPresent(), node.name));
+        network.running().forEach(node -> assertFalse(node.recordOf("r8").isPresent(), node.name));
     }
 
-    // Guards against probes that keep a replaced VM alive because another one answers at its address.
+    // Guards against probes that keep a replaced VM alive because another VM responds at its address.
     @Test
     public void nameMovesAndAddressIsReused() {
-        SimulatedNetwork network = joined(11, 9, 3);
+        SimulatedNetwork network = joinedNetwork(11, 9, 3);
         network.node("r6").crash();
         network.node("r7").crash();
         network.start(network.add("r6", "zone-0", "region-0", "10.0.9.9:7000"));
         network.start(network.add("r99", "zone-1", "region-0", "10.0.0.7:7000"));
         network.run(20_000);
-        assertEquals(network.node("r0").sees("r6").orElseThrow().address(), "10.0.9.9:7000");
-        assertEquals(network.node("r0").sees("r7").orElseThrow().status(), MemberStatus.DEAD);
-        assertEquals(network.node("r0").sees("r99").orElseThrow().status(), MemberStatus.ALIVE);
+        assertEquals(network.node("r0").recordOf("r6").orElseThrow().address(), "10.0.9.9:7000");
+        assertEquals(network.node("r0").recordOf("r7").orElseThrow().status(), MemberStatus.DEAD);
+        assertEquals(network.node("r0").recordOf("r99").orElseThrow().status(), MemberStatus.ALIVE);
     }
 
-    // Guards against hints that cross the costly links between availability zones, or that do not arrive.
+    // Guards against hints that leave their scope over costly links between availability zones, or that do not arrive.
     @Test
     public void hintsStayInTheirScope() {
-        SimulatedNetwork network = joined(12, 24, 6);
+        SimulatedNetwork network = joinedNetwork(12, 24, 6);
         SimulatedNetwork.Node publisher = network.node("r0");
         publisher.protocol.publish(new TestHint(HintScope.AVAILABILITY_ZONE, "load", 1, false), network.nowMillis());
         publisher.protocol.publish(new TestHint(HintScope.REGION, "usage", 1, false), network.nowMillis());
@@ -236,16 +235,17 @@
                 if (node.zone.equals(publisher.zone)) {
                     expected.add("load");
                 }
-                assertEquals(new TreeSet<>(node.received), expected, node.name);
-                assertEquals(new HashSet<>(node.received).size(), node.received.size(), "delivered twice");
+                assertEquals(new TreeSet<>(node.receivedHintKeys), expected, node.name);
+                assertEquals(
+                        new HashSet<>(node.receivedHintKeys).size(), node.receivedHintKeys.size(), "delivered twice");
             }
         }
     }
 
-    // Guards against a flood of hints that exceeds the byte budget, delays urgent hints or costs probes.
+    // Guards against a flood of hints that exceeds the byte budget, delays urgent hints or suppresses probes.
     @Test
-    public void budgetHoldsUnderAFloodOfHints() {
-        SimulatedNetwork network = joined(13, 17, 1);
+    public void byteBudgetHoldsUnderHintFlood() {
+        SimulatedNetwork network = joinedNetwork(13, 17, 1);
         SimulatedNetwork.Node publisher = network.node("r0");
         long before = publisher.protocol.counters().get(SwimCounter.BYTES_SENT);
         for (int second = 0; second < 30; second++) {
@@ -262,17 +262,17 @@
         publisher.protocol.publish(new TestHint(HintScope.AVAILABILITY_ZONE, "draining", 1, true), network.nowMillis());
         network.run(2_500);
         long reached = network.running().stream()
-                .filter(node -> node.received.contains("draining"))
+                .filter(node -> node.receivedHintKeys.contains("draining"))
                 .count();
         assertEquals(reached, 16);
     }
 
-    // Differential test: guards against rules of suspicion and dissemination that end in other live sets than plain
-    // heartbeats do, over random crashes, restarts and cuts of a zone.
+    // Differential test: guards against live members that differ from those by plain heartbeats after random crashes,
+    // restarts and partitions of a zone.
     @Test
     public void agreesWithAllToAllHeartbeats() {
         for (int seed = 1; seed <= 5; seed++) {
-            SimulatedNetwork network = joined(100 + seed, 24, 3);
+            SimulatedNetwork network = joinedNetwork(100 + seed, 24, 3);
             List<String> names =
                     network.running().stream().map(node -> node.name).toList();
             AllToAllHeartbeats reference = new AllToAllHeartbeats(names);
@@ -284,12 +284,13 @@
                 } else {
                     network.start(node);
                 }
-                boolean cutOff = random.nextInt(3) == 0;
-                network.cut = (from, to) -> cutOff && from.zone.equals("zone-1") != to.zone.equals("zone-1");
+                boolean partitioned = random.nextInt(3) == 0;
+                network.blocked = (from, to) -> partitioned && from.zone.equals("zone-1") != to.zone.equals("zone-1");
                 Set<String> running = new TreeSet<>();
                 network.running().forEach(member -> running.add(member.name));
                 network.run(70_000);
-                reference.run(70_000, running, (from, to) -> network.cut.test(network.node(from), network.node(to)));
+                reference.run(
+                        70_000, running, (from, to) -> network.blocked.test(network.node(from), network.node(to)));
                 for (String observer : running) {
                     assertEquals(network.node(observer).live(), reference.live(observer), "seed " + seed);
                 }
@@ -297,7 +298,7 @@
         }
     }
 
-    private static SimulatedNetwork joined(long seed, int count, int zones) {
+    private static SimulatedNetwork joinedNetwork(long seed, int count, int zones) {
         SimulatedNetwork network = new SimulatedNetwork(seed);
         network.startAll(count, zones, 3);
         assertTrue(network.runUntilConsistent(30_000) >= 0);
--- a/agatelane-core/src/test/java/io/agatelane/core/membership/SwimScaleTest.java
+++ b/agatelane-core/src/test/java/io/agatelane/core/membership/SwimScaleTest.java
@@ -10,7 +10,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Figures of the protocol at the sizes of today and of the target; they are printed for the capacity page. */
+/** Measures the protocol at the current and the target fleet size, and prints the figures for the capacity page. */
 public final class SwimScaleTest {
     private static final int BUDGET_BYTES_PER_SECOND = 22_000;
 
@@ -19,14 +19,14 @@
         return new Object[][] {{9, 3, 3}, {50, 6, 3}, {370, 22, 3}};
     }
 
-    // Guards against a start of all members, a crash or a configuration change that costs more than the byte budget or
-    // is seen too late at the target size.
+    // Guards against a start of all members, a crash or a configuration change that exceeds the byte budget or takes
+    // too long to reach every member at the target fleet size.
     @Test(dataProvider = "sizes")
     public void staysWithinBudgetAndDetectsCrashes(int count, int zones, int zonesPerRegion) {
         SimulatedNetwork network = new SimulatedNetwork(11);
         network.startAll(count, zones, zonesPerRegion);
         long joinMillis = network.runUntilConsistent(60_000);
-        assertTrue(joinMillis >= 0, "the herd of starts does not converge");
+        assertTrue(joinMillis >= 0, "members that start at once do not converge");
 
         network.run(20_000);
         Rates idle = measure(network, 60_000);
@@ -72,9 +72,9 @@
                 network.largestPacketBytes);
         assertTrue(idle.largest <= BUDGET_BYTES_PER_SECOND);
         assertTrue(network.largestPacketBytes <= SwimSettings.DEFAULT.maxPacketBytes());
-        assertTrue(firstMillis <= 5_000, "first detection after " + firstMillis);
-        assertTrue(allMillis <= 10_000, "all know after " + allMillis);
-        assertTrue(revisionMillis <= 8_000, "revision known everywhere after " + revisionMillis);
+        assertTrue(firstMillis <= 5_000, "milliseconds to the first detection: " + firstMillis);
+        assertTrue(allMillis <= 10_000, "milliseconds until all members have detected the crash: " + allMillis);
+        assertTrue(revisionMillis <= 8_000, "milliseconds until all members have the revision: " + revisionMillis);
     }
 
     private static boolean allHaveRevision(List<SimulatedNetwork.Node> nodes) {
