--- a/agatelane-core/src/main/java/io/agatelane/core/membership/command/SwimProtocol.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/membership/command/SwimProtocol.java
@@ -162,7 +162,7 @@
         return changed;
     }
 
-    /** Probes a member that is dead here but not elsewhere, so that it refutes the death; only the member itself may. */
+    /** Probes a member that is dead here but not elsewhere, so that it refutes its death; only the member may. */
     private void requestRefutation(MemberRecord received, long nowMillis) {
         MemberEntry entry = table.find(received.name()).orElseThrow();
         if (nowMillis - entry.lastRefutationRequestMillis >= 2 * settings.suspicionMillis()) {
