--- a/agatelane-core/src/main/java/io/agatelane/core/limits/command/AccountLimiter.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/limits/command/AccountLimiter.java
@@ -153,7 +153,7 @@
                 state.demandTokens() * decay + demand, state.admittedTokens() * decay + admitted, nowMillis);
     }
 
-    // The sums are refreshed at intervals: computing them for each request is too slow with 13,000 accounts.
+    // The sums are refreshed at intervals: computing them for each request would be costly with 13,000 accounts.
     private void refreshSums(long nowMillis) {
         if (table.sumsUpdatedMillis() != Long.MIN_VALUE
                 && nowMillis - table.sumsUpdatedMillis() < SUM_INTERVAL_MILLIS) {
