--- a/agatelane-node/src/test/java/io/agatelane/node/fakes/FakeConfigView.java
+++ b/agatelane-node/src/test/java/io/agatelane/node/fakes/FakeConfigView.java
@@ -7,12 +7,12 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-/** A configuration that a test sets by hand. */
+/** A configuration whose snapshot a test sets directly. */
 public final class FakeConfigView implements ConfigView {
     private final List<Consumer<ConfigSnapshot>> listeners = new ArrayList<>();
     private volatile ConfigSnapshot snapshot = ConfigSnapshot.empty();
 
-    /** Replaces the snapshot and tells the listeners. */
+    /** Replaces the snapshot and notifies the listeners. */
     public void set(ConfigSnapshot newSnapshot) {
         snapshot = newSnapshot;
         List.copyOf(listeners).forEach(listener -> listener.accept(newSnapshot));
@@ -31,6 +31,6 @@
 
     @Override
     public void revisionAnnounced(String vmName, long revision) {
-        // A hand-set configuration has nothing to fetch.
+        // The test sets the configuration directly, so there is nothing to fetch.
     }
 }
--- a/agatelane-node/src/test/java/io/agatelane/node/fakes/FakeControl.java
+++ b/agatelane-node/src/test/java/io/agatelane/node/fakes/FakeControl.java
@@ -40,12 +40,12 @@
         return schedule(delayMillis, 0, task);
     }
 
-    /** Runs everything that is due now, including what the tasks add. */
+    /** Runs all tasks that are due now, including those that the tasks add. */
     public void runPending() {
         advance(0);
     }
 
-    /** Moves the clock and runs what falls due, in order of time. */
+    /** Advances the clock and runs the tasks that become due, in order of time. */
     public void advance(long millis) {
         long targetMillis = monotonicMillis() + millis;
         Task task = poll(targetMillis);
--- a/agatelane-node/src/test/java/io/agatelane/node/fakes/FakeKeyValueStore.java
+++ b/agatelane-node/src/test/java/io/agatelane/node/fakes/FakeKeyValueStore.java
@@ -16,8 +16,8 @@
 import java.util.function.Supplier;
 
 /**
- * The platform's service in memory. Each call takes effect after half the latency and is answered after the whole. Tests
- * can take it out, lose replies of writes that took effect, and restore an older state.
+ * In-memory key-value store of the platform. Each call takes effect after half the latency and completes after the
+ * whole. Tests can simulate an outage, lose responses to writes that took effect, and restore an older state.
  */
 public final class FakeKeyValueStore implements KeyValueStore {
     private final FakeControl control;
@@ -28,7 +28,7 @@
     private long revision;
     private long latencyMillis;
     private boolean outage;
-    private int repliesToLose;
+    private int responsesToLose;
     private int readCount;
     private int writeCount;
 
@@ -36,19 +36,19 @@
         this.control = control;
     }
 
-    /** Sets the time from a call to its answer; 0 answers within the call. */
+    /** Sets the time from a call to its response; with 0, calls complete immediately. */
     public void setLatencyMillis(long millis) {
         this.latencyMillis = millis;
     }
 
-    /** While out, no call takes effect and each fails with PLATFORM_UNAVAILABLE. */
+    /** During an outage, no call takes effect and each fails with PLATFORM_UNAVAILABLE. */
     public void setOutage(boolean out) {
         this.outage = out;
     }
 
     /** The next writes take effect but fail with WRITE_OUTCOME_UNKNOWN. */
     public void loseReplies(int count) {
-        this.repliesToLose = count;
+        this.responsesToLose = count;
     }
 
     public int readCount() {
@@ -177,8 +177,8 @@
         }
         long half = latencyMillis / 2;
         control.after(half, () -> {
-            Runnable answer = apply(write, effect, result);
-            control.after(latencyMillis - half, answer);
+            Runnable response = apply(write, effect, result);
+            control.after(latencyMillis - half, response);
         });
         return result;
     }
@@ -186,14 +186,14 @@
     private <T> Runnable apply(boolean write, Supplier<T> effect, CompletableFuture<T> result) {
         if (outage) {
             return () -> result.completeExceptionally(
-                    new AgatelaneException(FailureType.PLATFORM_UNAVAILABLE, "the platform is out"));
+                    new AgatelaneException(FailureType.PLATFORM_UNAVAILABLE, "the platform is unavailable"));
         }
         try {
             T value = effect.get();
-            if (write && repliesToLose > 0) {
-                repliesToLose--;
+            if (write && responsesToLose > 0) {
+                responsesToLose--;
                 return () -> result.completeExceptionally(
-                        new AgatelaneException(FailureType.WRITE_OUTCOME_UNKNOWN, "the reply was lost"));
+                        new AgatelaneException(FailureType.WRITE_OUTCOME_UNKNOWN, "the response was lost"));
             }
             return () -> result.complete(value);
         } catch (AgatelaneException e) {
--- a/agatelane-node/src/test/java/io/agatelane/node/fakes/FakeMembership.java
+++ b/agatelane-node/src/test/java/io/agatelane/node/fakes/FakeMembership.java
@@ -10,7 +10,7 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 
-/** A membership that a test sets by hand. */
+/** A membership view whose members a test sets directly. */
 public final class FakeMembership implements MembershipView {
     private final String selfName;
     private final TreeMap<String, Member> members = new TreeMap<>();
@@ -24,12 +24,12 @@
         }
     }
 
-    /** Adds or replaces a member and tells the listeners. */
+    /** Adds or replaces a member and notifies the listeners. */
     public synchronized void put(String name, MemberState state, long incarnation) {
         put(new Member(name, incarnation, state, "127.0.0.1:1", "zone-a", 0));
     }
 
-    /** Adds or replaces a member and tells the listeners. */
+    /** Adds or replaces a member and notifies the listeners. */
     public synchronized void put(Member member) {
         members.put(member.name(), member);
         List.copyOf(listeners).forEach(listener -> listener.accept(members()));
--- a/agatelane-node/src/test/java/io/agatelane/node/fakes/FakeNode.java
+++ b/agatelane-node/src/test/java/io/agatelane/node/fakes/FakeNode.java
@@ -6,7 +6,7 @@
 import java.net.InetSocketAddress;
 import java.util.List;
 
-/** Contexts for tests. */
+/** Creates settings and node contexts for tests. */
 public final class FakeNode {
     private static final int MAX_BODY_BYTES = 1 << 20;
     private static final int MAX_ANSWER_BYTES = 900_000;
--- a/agatelane-node/src/test/java/io/agatelane/node/fakes/FakePeerNetwork.java
+++ b/agatelane-node/src/test/java/io/agatelane/node/fakes/FakePeerNetwork.java
@@ -11,7 +11,10 @@
 import java.util.Set;
 import java.util.concurrent.CompletableFuture;
 
-/** Requests between routers of one test, with latency, cuts in one direction and lost responses. */
+/**
+ * In-memory transport for requests between the routers of one test, with latency, links that are cut in one direction,
+ * and lost responses.
+ */
 public final class FakePeerNetwork {
     private final FakeControl control;
     private final Map<String, Endpoint> endpoints = new HashMap<>();
@@ -32,7 +35,7 @@
         cuts.add(from + ">" + to);
     }
 
-    /** Ends a cut. */
+    /** Restores a direction that was cut. */
     public void heal(String from, String to) {
         cuts.remove(from + ">" + to);
     }
--- a/agatelane-node/src/test/java/io/agatelane/node/fakes/FakeRouterControl.java
+++ b/agatelane-node/src/test/java/io/agatelane/node/fakes/FakeRouterControl.java
@@ -6,10 +6,10 @@
 import java.util.Queue;
 import java.util.concurrent.Executor;
 
-/** Control thread of one router on a clock shared by all; a test can pause it or end it. */
+/** Control thread of one router on a clock shared by all routers of a test; the test can pause or stop it. */
 public final class FakeRouterControl implements TimerService, Executor {
     private final FakeControl shared;
-    private final Queue<Runnable> held = new ArrayDeque<>();
+    private final Queue<Runnable> queued = new ArrayDeque<>();
     private boolean paused;
     private boolean dead;
 
@@ -17,23 +17,23 @@
         this.shared = shared;
     }
 
-    /** Tasks wait from now on while time goes on. */
+    /** Queues tasks from now on while the clock keeps advancing. */
     public void pause() {
         paused = true;
     }
 
-    /** Runs the tasks that waited. */
+    /** Runs the queued tasks and stops queueing. */
     public void resume() {
         paused = false;
-        while (!paused && !held.isEmpty()) {
-            held.poll().run();
+        while (!paused && !queued.isEmpty()) {
+            queued.poll().run();
         }
     }
 
-    /** No task runs any more. */
+    /** Stops the control thread: drops queued tasks and runs none any more. */
     public void kill() {
         dead = true;
-        held.clear();
+        queued.clear();
     }
 
     public boolean isDead() {
@@ -70,7 +70,7 @@
             return;
         }
         if (paused) {
-            held.add(task);
+            queued.add(task);
         } else {
             task.run();
         }
