--- a/agatelane-node/src/main/java/io/agatelane/node/io/engine/Admission.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/io/engine/Admission.java
@@ -13,9 +13,12 @@
 import java.util.Map;
 import java.util.concurrent.ConcurrentHashMap;
 
-/** Decides which requests may run, and keeps the budgets of extra attempts. */
+/**
+ * Admission control for chat requests: account limits, deadlines, quarantined requests, and the budgets of retries and
+ * hedges.
+ */
 final class Admission {
-    private static final double OUTPUT_WEIGHT = 0.1;
+    private static final double OUTPUT_AVERAGE_WEIGHT = 0.1;
     private static final long SUSPECT_RETRY_MILLIS = 1_000;
 
     private final SuspectTable suspects = new SuspectTable();
@@ -24,7 +27,7 @@
     private final AccountLimiter limiter = new AccountLimiter(new AccountTable());
     private final RatioBudget retries = new RatioBudget();
     private final RatioBudget hedges = new RatioBudget();
-    private final Map<String, Double> outputTokens = new ConcurrentHashMap<>();
+    private final Map<String, Double> averageOutputTokens = new ConcurrentHashMap<>();
 
     AccountLimiter limiter() {
         return limiter;
@@ -43,19 +46,21 @@
     }
 
     /**
-     * Refuses requests that crashed engines.
+     * Refuses a request that is quarantined because engines crashed while running it, and a concurrent copy of a
+     * suspect request.
      *
-     * @param running whether the same request is running on this router
+     * @param sameRequestRunning whether the same request is running on this router
      */
-    void requireHarmless(ChatRequest request, boolean running, long nowMillis) {
+    void requireSafeToRun(ChatRequest request, boolean sameRequestRunning, long nowMillis) {
         String fingerprint = request.fingerprint().hex();
         if (quarantine.isQuarantined(fingerprint, nowMillis)) {
             throw quarantined();
         }
-        // Copies of a suspect that run side by side could take more engines down before the second crash is seen.
-        if (running && quarantine.isSuspect(fingerprint, nowMillis)) {
+        // Concurrent copies of a suspect request could crash more engines before the second crash is detected.
+        if (sameRequestRunning && quarantine.isSuspect(fingerprint, nowMillis)) {
             throw new AgatelaneException(
-                            FailureType.OVERLOADED, "the same request is running and was seen when an engine crashed")
+                            FailureType.OVERLOADED,
+                            "the same request is running, and an engine has crashed while running it")
                     .withRetryAfterMillis(SUSPECT_RETRY_MILLIS);
         }
     }
@@ -75,7 +80,7 @@
     static AgatelaneException quarantined() {
         return new AgatelaneException(
                 FailureType.QUARANTINED_REQUEST,
-                "engines crashed when they ran this request; it is refused for a while");
+                "engines crashed while running this request; it is quarantined for a limited time");
     }
 
     static AgatelaneException notResumable(String reason) {
@@ -84,11 +89,12 @@
     }
 
     /**
-     * Admits a request whose best candidate is known and returns the tokens charged.
+     * Admits a request for its best candidate engine and returns the number of tokens charged to the account.
      *
-     * @throws AgatelaneException when it would start too late or its account used up its part
+     * @throws AgatelaneException when the first token is expected too late, or the account is over its limit or its
+     *     share
      */
-    long admit(ChatRequest request, Choice choice, long nowMillis) {
+    long admit(ChatRequest request, EngineChoice choice, long nowMillis) {
         long tokens = request.prompt().tokenCount() + (long) expectedOutput(request);
         limiter.ask(request.account(), tokens, nowMillis);
         UpstreamState state = choice.engine().state();
@@ -104,24 +110,27 @@
         return tokens;
     }
 
-    /** Replaces a charge by what the request used. */
+    /** Replaces the tokens charged at admission by the tokens that the request used. */
     void settle(ChatRequest request, long chargedTokens, long promptTokens, long generatedTokens, long nowMillis) {
         limiter.settle(request.account(), promptTokens + generatedTokens - chargedTokens, nowMillis);
         if (generatedTokens > 0) {
-            outputTokens.merge(
+            averageOutputTokens.merge(
                     outputKey(request),
                     (double) generatedTokens,
-                    (known, latest) -> known + OUTPUT_WEIGHT * (latest - known));
+                    (previous, latest) -> previous + OUTPUT_AVERAGE_WEIGHT * (latest - previous));
         }
     }
 
-    /** Expected length of the response: the caller's limit, or else what the account usually gets from the model. */
+    /**
+     * Returns the expected number of response tokens: the caller's limit, or else the moving average of the account's
+     * responses from the model.
+     */
     int expectedOutput(ChatRequest request) {
         if (request.maxTokensGiven()) {
             return request.maxTokens();
         }
-        Double usual = outputTokens.get(outputKey(request));
-        return usual == null ? request.maxTokens() : (int) Math.min(request.maxTokens(), Math.ceil(usual));
+        Double average = averageOutputTokens.get(outputKey(request));
+        return average == null ? request.maxTokens() : (int) Math.min(request.maxTokens(), Math.ceil(average));
     }
 
     private static String outputKey(ChatRequest request) {
--- a/agatelane-node/src/main/java/io/agatelane/node/io/engine/CallGate.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/io/engine/CallGate.java
@@ -8,7 +8,7 @@
     private long running;
     private boolean refusing;
 
-    /** Counts a request as running; false when it must be refused. */
+    /** Counts a request as running; returns false when it must be refused. */
     synchronized boolean enter() {
         if (refusing) {
             return false;
--- a/agatelane-node/src/main/java/io/agatelane/node/io/engine/CallerSink.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/io/engine/CallerSink.java
@@ -14,12 +14,12 @@
     /** Ends the response with a failure. */
     void fail(AgatelaneException failure);
 
-    /** Shows a waiting caller that the request is alive, and notices callers that went away. */
+    /** Shows a waiting caller that the request is alive, and detects a caller that disconnected. */
     void keepAlive();
 
-    /** Whether a write is waiting for the caller to read. */
+    /** Whether a write is blocked until the caller reads. */
     boolean isBlocked();
 
-    /** Runs the action once the caller has read enough for more to be sent; at once when it has. */
+    /** Runs the action once the caller has read enough for more to be sent; immediately if it has. */
     void whenWritable(Runnable action);
 }
--- a/agatelane-node/src/main/java/io/agatelane/node/io/engine/ChatCall.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/io/engine/ChatCall.java
@@ -12,48 +12,48 @@
 import org.eclipse.jetty.http.HttpFields;
 
 /**
- * One caller's request from the decision to the last byte. All state is guarded by the object's lock; nothing blocks
- * while holding it.
+ * One caller's request, from routing to the last byte of the response, over all its attempts. All state is guarded by
+ * the object's lock; no operation blocks while holding it.
  */
 final class ChatCall implements EngineStream.Listener {
     private static final String DONE = "[DONE]";
-    // An engine that delivers nothing for this long is probed on a new connection.
-    private static final long SILENCE_MILLIS = 3_000;
-    private static final long PROBE_MILLIS = 1_000;
-    private static final long KEEP_ALIVE_MILLIS = 2_000;
+    // An engine that sends nothing for this long is probed on a new connection.
+    private static final long IDLE_TIMEOUT_MILLIS = 3_000;
+    private static final long PROBE_TIMEOUT_MILLIS = 1_000;
+    private static final long KEEP_ALIVE_PERIOD_MILLIS = 2_000;
     // A caller that lost its connection can resume within this time before the engine's stream is cancelled.
-    private static final long CANCEL_GRACE_MILLIS = 1_000;
-    private static final int MAX_RUNS = 4;
-    private static final int MAX_FRUITLESS_PROBES = 2;
+    private static final long RESUME_GRACE_MILLIS = 1_000;
+    private static final int MAX_ATTEMPTS = 4;
+    private static final int MAX_PROBES_WITHOUT_PROGRESS = 2;
 
-    private final Traffic traffic;
+    private final TrafficContext traffic;
     private ChatRequest request;
     private final CallerSink sink;
     private final String requestId;
     private RequestProfile profile;
-    private final AnswerAssembler answer;
+    private final ResponseAssembler assembler;
     private final StreamPosition position;
-    private final CallLog log;
+    private final EngineCallLog log;
     private final Set<String> tried = new HashSet<>();
     private final long arrivedMillis;
-    private Attempt attempt;
-    private Attempt hedge;
+    private EngineAttempt primary;
+    private EngineAttempt hedge;
     private long chargedTokens;
-    private int runs;
+    private int attemptCount;
     private boolean hedged;
     private boolean mayHaveRun;
     private boolean resumedByCaller;
     private boolean ended;
     private long lastKeepAliveMillis;
 
-    ChatCall(Traffic traffic, ChatRequest request, String requestId, CallerSink sink) {
+    ChatCall(TrafficContext traffic, ChatRequest request, String requestId, CallerSink sink) {
         this.traffic = traffic;
         this.request = request;
         this.sink = sink;
         this.requestId = requestId;
-        this.answer = new AnswerAssembler(requestId, sink, traffic.metrics());
-        this.position = answer.position();
-        this.log = new CallLog(requestId);
+        this.assembler = new ResponseAssembler(requestId, sink, traffic.metrics());
+        this.position = assembler.position();
+        this.log = new EngineCallLog(requestId);
         this.profile = traffic.profile(request);
         this.arrivedMillis = traffic.nowMillis();
         this.lastKeepAliveMillis = arrivedMillis;
@@ -61,54 +61,54 @@
 
     /** Admits the request and sends it to an engine, or refuses it at once. */
     synchronized void start() {
-        boolean sameRunning = traffic.isRunningElsewhere(this);
+        boolean suspectRunning = traffic.isSuspectRunningInOtherCall(this);
         traffic.calls().add(this);
         try {
-            traffic.admission().requireHarmless(request, sameRunning, arrivedMillis);
-            Choice choice = traffic.dispatcher().choose(request, requestId, profile, tried, 1);
-            // Counted after the choice, which asks whether earlier requests had these prefixes.
+            traffic.admission().requireSafeToRun(request, suspectRunning, arrivedMillis);
+            EngineChoice choice = traffic.dispatcher().choose(request, requestId, profile, tried, 1);
+            // Recorded after the choice, which depends on whether earlier requests had these prefixes.
             traffic.recordPrefixes(profile, arrivedMillis);
             chargedTokens = traffic.admission().admit(request, choice, arrivedMillis);
-            attempt = newRun(choice);
-            attempt.stream().start();
+            primary = newAttempt(choice);
+            primary.stream().start();
         } catch (RuntimeException e) {
             endWith(AgatelaneException.from(e));
         }
     }
 
-    /** Takes up the engine's stream after the caller's last event. */
-    synchronized void resume(EventId lastEvent) {
+    /** Resumes the engine's stream after the last event that the caller received. */
+    synchronized void resume(EventId last) {
         traffic.calls().add(this);
         resumedByCaller = true;
         mayHaveRun = true;
-        Engine engine = traffic.table().engine(lastEvent.upstream()).orElse(null);
+        Engine engine = traffic.table().engine(last.upstream()).orElse(null);
         LoadReport report = engine == null ? null : engine.state().report();
-        if (report == null || !report.incarnation().equals(lastEvent.incarnation())) {
-            endWith(Admission.notResumable("the engine of the stream is gone"));
+        if (report == null || !report.incarnation().equals(last.incarnation())) {
+            endWith(Admission.notResumable("the engine of the stream is unknown or was restarted"));
             return;
         }
         // The text before the caller's position is read again, so that another engine can continue it.
-        position.skipTo(lastEvent.offset() + 1);
-        if (lastEvent.isContinuation()) {
-            position.startAt(lastEvent.offset() + 1);
+        position.skipTo(last.offset() + 1);
+        if (last.isContinuation()) {
+            position.startAt(last.offset() + 1);
         } else if (!report.weightsVersion().equals(request.model().weightsVersion())) {
-            position.forgetText();
+            position.markTextUnknown();
         }
         long nowMillis = traffic.nowMillis();
-        Lease lease = new Lease(engine.state(), 0, false, nowMillis);
-        attempt = new Attempt(
-                new Choice(engine, 0, 0, false), lastEvent.incarnation(), lastEvent.requestId(), 0, lease, nowMillis);
-        log.resumed(lastEvent);
+        EngineReservation reservation = new EngineReservation(engine.state(), 0, false, nowMillis);
+        primary = new EngineAttempt(
+                new EngineChoice(engine, 0, 0, false), last.incarnation(), last.requestId(), 0, reservation, nowMillis);
+        log.resumed(last);
         openResumedStream();
     }
 
-    /** Ends the call because its caller went away. */
-    synchronized void callerGone() {
+    /** Ends the call because its caller disconnected. */
+    synchronized void callerDisconnected() {
         if (ended) {
             return;
         }
-        traffic.metrics().callersGone.inc();
-        Attempt current = attempt;
+        traffic.metrics().callersDisconnected.inc();
+        EngineAttempt current = primary;
         dropHedge();
         end();
         if (current == null) {
@@ -118,13 +118,13 @@
             cancelAtEngine(current);
             return;
         }
-        traffic.later(CANCEL_GRACE_MILLIS, () -> cancelUnlessResumed(current));
+        traffic.schedule(RESUME_GRACE_MILLIS, () -> cancelUnlessResumed(current));
     }
 
-    /** Ends the call because another copy of it crashed a second engine. */
+    /** Ends the call because the same request in another call crashed a second engine. */
     synchronized void quarantine() {
         if (!ended) {
-            Attempt current = attempt;
+            EngineAttempt current = primary;
             endWith(Admission.quarantined());
             if (current != null) {
                 cancelAtEngine(current);
@@ -141,60 +141,60 @@
     }
 
     synchronized boolean usesEngineRequest(String engineRequestId) {
-        return attempt != null && attempt.engineRequestId().equals(engineRequestId);
+        return primary != null && primary.engineRequestId().equals(engineRequestId);
     }
 
-    /** Checks what time brings: hedges, the silence bound, callers that wait; called periodically. */
+    /** Periodic check: starts a due hedge, detects an idle engine, and sends keep-alives to a waiting caller. */
     synchronized void tick(long nowMillis) {
-        if (ended || attempt == null) {
+        if (ended || primary == null) {
             return;
         }
         if (position.isAtStart()) {
             tickBeforeFirstToken(nowMillis);
         }
-        if (ended || attempt == null || attempt.isPaused() || attempt.isDiagnosing()) {
+        if (ended || primary == null || primary.isPaused() || primary.isDiagnosing()) {
             return;
         }
-        long silentMillis = nowMillis - attempt.stream().lastByteMillis();
-        if (attempt.isProbing() && silentMillis >= PROBE_MILLIS) {
-            leaveEngine("the engine does not answer on a new connection", true);
-        } else if (!attempt.isProbing() && silentMillis >= SILENCE_MILLIS) {
-            probe("the engine sent nothing for " + silentMillis + " ms");
+        long idleMillis = nowMillis - primary.stream().lastByteMillis();
+        if (primary.isProbing() && idleMillis >= PROBE_TIMEOUT_MILLIS) {
+            failOver("the engine does not respond on a new connection", true);
+        } else if (!primary.isProbing() && idleMillis >= IDLE_TIMEOUT_MILLIS) {
+            probe("the engine sent nothing for " + idleMillis + " ms");
         }
     }
 
     @Override
-    public synchronized void onHead(EngineStream stream, HttpFields headers) {
-        Attempt run = runOf(stream);
-        if (run == null) {
+    public synchronized void onHeaders(EngineStream stream, HttpFields headers) {
+        EngineAttempt attempt = attemptOf(stream);
+        if (attempt == null) {
             return;
         }
         String weights = resumedByCaller ? null : request.model().weightsVersion();
-        EngineChunk.Head head = EngineChunk.checkHead(headers, run, weights);
-        if (head == EngineChunk.Head.EXPECTED) {
-            run.setProbing(false);
+        EngineChunk.HeaderCheck check = EngineChunk.checkHeaders(headers, attempt, weights);
+        if (check == EngineChunk.HeaderCheck.EXPECTED) {
+            attempt.setProbing(false);
             return;
         }
         traffic.metrics().mismatchedResponses.inc();
-        log.mismatch(run, headers.get("X-Request-Id"));
-        if (run == hedge) {
+        log.mismatch(attempt, headers.get("X-Request-Id"));
+        if (attempt == hedge) {
             dropHedge();
-        } else if (head == EngineChunk.Head.OTHER_REQUEST) {
+        } else if (check == EngineChunk.HeaderCheck.OTHER_REQUEST) {
             probe("the response belongs to another request");
         } else {
-            leaveEngine("the response comes from another incarnation or other weights", false);
+            failOver("the response comes from another incarnation or other weights", false);
         }
     }
 
     @Override
     public synchronized void onEvent(EngineStream stream, SseParser.Event event) {
-        Attempt run = runOf(stream);
-        if (run == null) {
+        EngineAttempt attempt = attemptOf(stream);
+        if (attempt == null) {
             return;
         }
         ObjectNode chunk = event.data().equals(DONE) ? null : EngineChunk.parse(event.data());
         boolean broken = chunk == null || event.type().equals("error") || chunk.has("error");
-        if (run == hedge) {
+        if (attempt == hedge) {
             if (broken) {
                 dropHedge();
                 return;
@@ -202,16 +202,16 @@
             if (!EngineChunk.isToken(event, chunk)) {
                 return;
             }
-            hedgeWins();
+            adoptWinningHedge();
         }
         if (!broken) {
             accept(event, chunk);
-        } else if (answer.finishSeen()) {
+        } else if (assembler.finishSeen()) {
             complete();
         } else if (event.data().equals(DONE) || chunk == null) {
-            probe("the engine ended the stream without a finish reason or sent no JSON");
+            probe("the engine ended the stream without a finish reason or sent an event that is not JSON");
         } else {
-            leaveEngine("the engine reported " + EngineChunk.errorType(chunk), false);
+            failOver("the engine reported " + EngineChunk.errorType(chunk), false);
         }
     }
 
@@ -226,22 +226,22 @@
 
     @Override
     public synchronized void onRefused(EngineStream stream, int status, String body) {
-        Attempt run = runOf(stream);
-        if (run == null) {
+        EngineAttempt attempt = attemptOf(stream);
+        if (attempt == null) {
             return;
         }
         String type = EngineChunk.errorType(body);
-        log.refused(run, status, type);
-        boolean unrun = EngineChunk.isRefusedUnrun(status, type);
-        if (run == hedge) {
+        log.refused(attempt, status, type);
+        boolean notExecuted = EngineChunk.isRefusedBeforeExecution(status, type);
+        if (attempt == hedge) {
             dropHedge();
-        } else if (attempt.isProbing()) {
-            resumeRefused(status);
-        } else if (unrun || status == 429 || status >= 500) {
-            boolean misplaced = EngineChunk.isMisplaced(status, type);
-            reroute("the engine refused with " + status + " " + type, !unrun, misplaced);
+        } else if (primary.isProbing()) {
+            handleResumeRefused(status);
+        } else if (notExecuted || status == 429 || status >= 500) {
+            boolean staleView = EngineChunk.isStaleViewRefusal(status, type);
+            reroute("the engine refused the request with " + status + " " + type, !notExecuted, staleView);
         } else {
-            leaveAttempt();
+            releaseAttempt();
             endWith(new AgatelaneException(
                     FailureType.MALFORMED_REQUEST, "the engine refused the request: " + status + " " + type));
         }
@@ -249,88 +249,88 @@
 
     @Override
     public synchronized void onEnd(EngineStream stream, Throwable failure) {
-        Attempt run = runOf(stream);
-        if (run == null) {
+        EngineAttempt attempt = attemptOf(stream);
+        if (attempt == null) {
             return;
         }
-        String reason = failure == null ? "the engine ended the stream early" : EngineClient.brief(failure);
-        if (run == hedge) {
+        String reason = failure == null ? "the engine ended the stream early" : EngineClient.describe(failure);
+        if (attempt == hedge) {
             dropHedge();
-        } else if (answer.finishSeen()) {
+        } else if (assembler.finishSeen()) {
             complete();
-        } else if (run.isProbing()) {
+        } else if (attempt.isProbing()) {
             diagnose(reason);
-        } else if (!stream.maybeSent()) {
-            traffic.table().markUnreachable(run.engine(), reason);
+        } else if (!stream.mayHaveBeenSent()) {
+            traffic.table().markUnreachable(attempt.engine(), reason);
             reroute("the engine cannot be reached", false, true);
         } else {
             probe(reason);
         }
     }
 
-    private Attempt runOf(EngineStream stream) {
+    private EngineAttempt attemptOf(EngineStream stream) {
         if (ended) {
             return null;
         }
-        if (attempt != null && attempt.stream() == stream) {
-            return attempt;
+        if (primary != null && primary.stream() == stream) {
+            return primary;
         }
         return hedge != null && hedge.stream() == stream ? hedge : null;
     }
 
     private synchronized void setPaused(EngineStream stream, boolean paused) {
-        Attempt run = runOf(stream);
-        if (run != null) {
-            run.setPaused(paused);
+        EngineAttempt attempt = attemptOf(stream);
+        if (attempt != null) {
+            attempt.setPaused(paused);
         }
     }
 
     private void tickBeforeFirstToken(long nowMillis) {
-        if (nowMillis - lastKeepAliveMillis >= KEEP_ALIVE_MILLIS) {
+        if (nowMillis - lastKeepAliveMillis >= KEEP_ALIVE_PERIOD_MILLIS) {
             lastKeepAliveMillis = nowMillis;
             sink.keepAlive();
         }
         if (ended || resumedByCaller) {
             return;
         }
-        double overdue = attempt.overdueFactor(nowMillis);
-        if (overdue > 0) {
-            attempt.engine().state().recordLatencyFactor(overdue, nowMillis);
+        double overdueFactor = primary.overdueFactor(nowMillis);
+        if (overdueFactor > 0) {
+            primary.engine().state().recordLatencyFactor(overdueFactor, nowMillis);
         }
         if (!hedged && isHedgeDue(nowMillis)) {
-            hedge(nowMillis);
+            startHedge(nowMillis);
         }
     }
 
     private boolean isHedgeDue(long nowMillis) {
         return request.stream()
-                && !attempt.choice().longRequest()
-                && !attempt.isProbing()
-                && nowMillis - attempt.startMillis() >= traffic.hedgeAfterMillis(request, attempt.choice())
+                && !primary.choice().longRequest()
+                && !primary.isProbing()
+                && nowMillis - primary.startMillis() >= traffic.hedgeAfterMillis(request, primary.choice())
                 && !traffic.admission().isSuspect(request, nowMillis);
     }
 
-    private void hedge(long nowMillis) {
+    private void startHedge(long nowMillis) {
         hedged = true;
         if (!traffic.admission().hedges().tryTake()) {
             traffic.metrics().hedgesWithoutBudget.inc();
             return;
         }
         Set<String> excluded = new HashSet<>(tried);
-        excluded.add(attempt.engine().name());
+        excluded.add(primary.engine().name());
         try {
-            Choice choice = traffic.dispatcher().choose(request, requestId, profile, excluded, runs + 1);
+            EngineChoice choice = traffic.dispatcher().choose(request, requestId, profile, excluded, attemptCount + 1);
             traffic.metrics().hedges.inc();
-            hedge = newRun(choice);
+            hedge = newAttempt(choice);
             hedge.stream().start();
         } catch (AgatelaneException e) {
-            log.hedgeWithoutEngine(attempt, nowMillis - attempt.startMillis());
+            log.hedgeWithoutEngine(primary, nowMillis - primary.startMillis());
         }
     }
 
-    private void hedgeWins() {
-        Attempt slower = attempt;
-        attempt = hedge;
+    private void adoptWinningHedge() {
+        EngineAttempt slower = primary;
+        primary = hedge;
         hedge = null;
         traffic.metrics().hedgesWon.inc();
         abandon(slower);
@@ -338,23 +338,23 @@
 
     private void dropHedge() {
         if (hedge != null) {
-            Attempt dropped = hedge;
+            EngineAttempt dropped = hedge;
             hedge = null;
             abandon(dropped);
         }
     }
 
-    // Replaces a failing run by the hedge, if there is one.
+    // Replaces a failing attempt by the hedge, if there is one.
     private boolean promoteHedge(String reason) {
         if (hedge == null) {
             return false;
         }
-        Attempt failed = attempt;
-        attempt = hedge;
+        EngineAttempt failed = primary;
+        primary = hedge;
         hedge = null;
         mayHaveRun = true;
         tried.add(failed.engine().name());
-        log.hedgePromoted(attempt, reason);
+        log.hedgePromoted(primary, reason);
         abandon(failed);
         var unused = EngineDiagnosis.of(traffic.client(), failed).thenAccept(result -> {
             if (result == EngineDiagnosis.CRASHED) {
@@ -365,127 +365,127 @@
         return true;
     }
 
-    private void abandon(Attempt run) {
-        run.stream().abort();
-        run.lease().release(traffic.nowMillis());
-        cancelAtEngine(run);
+    private void abandon(EngineAttempt attempt) {
+        attempt.stream().abort();
+        attempt.reservation().release(traffic.nowMillis());
+        cancelAtEngine(attempt);
     }
 
-    private Attempt newRun(Choice choice) {
-        runs++;
+    private EngineAttempt newAttempt(EngineChoice choice) {
+        attemptCount++;
         return traffic.dispatcher()
-                .newRun(
+                .newAttempt(
                         this,
                         request,
                         choice,
-                        EventId.engineRequestId(requestId, runs, !position.isAtStart()),
+                        EventId.engineRequestId(requestId, attemptCount, !position.isAtStart()),
                         position,
                         arrivedMillis);
     }
 
     private void accept(SseParser.Event event, ObjectNode chunk) {
-        AnswerAssembler.Result result = answer.accept(attempt, event, chunk);
+        ResponseAssembler.Result result = assembler.accept(primary, event, chunk);
         if (ended) {
             return;
         }
-        if (result == AnswerAssembler.Result.BROKEN) {
-            probe(answer.fault());
-        } else if (result == AnswerAssembler.Result.TOKEN) {
-            attempt.recordProgress();
-            if (attempt.firstTokenMillis() < 0) {
-                firstToken();
+        if (result == ResponseAssembler.Result.BROKEN) {
+            probe(assembler.fault());
+        } else if (result == ResponseAssembler.Result.TOKEN) {
+            primary.recordProgress();
+            if (primary.firstTokenMillis() < 0) {
+                recordFirstToken();
             }
         }
     }
 
-    private void firstToken() {
+    private void recordFirstToken() {
         long nowMillis = traffic.nowMillis();
         dropHedge();
-        attempt.setFirstTokenMillis(nowMillis);
-        attempt.lease().endPrefill();
+        primary.setFirstTokenMillis(nowMillis);
+        primary.reservation().endPrefill();
         if (resumedByCaller) {
             return;
         }
-        UpstreamState state = attempt.engine().state();
-        long engineKey = state.hintKey(attempt.incarnation());
+        UpstreamState state = primary.engine().state();
+        long engineKey = state.hintKey(primary.incarnation());
         traffic.recordCached(profile, state.nodeHash(), engineKey, nowMillis);
-        long elapsedMillis = nowMillis - attempt.startMillis();
-        state.recordLatencyFactor(elapsedMillis / attempt.choice().expectedMillis(), nowMillis);
-        if (runs == 1 || hedged) {
-            traffic.recordFirstToken(request, attempt.choice(), nowMillis - arrivedMillis);
+        long elapsedMillis = nowMillis - primary.startMillis();
+        state.recordLatencyFactor(elapsedMillis / primary.choice().expectedMillis(), nowMillis);
+        if (attemptCount == 1 || hedged) {
+            traffic.recordFirstToken(request, primary.choice(), nowMillis - arrivedMillis);
         }
     }
 
-    // Takes up the stream on a new connection, which tells a broken connection from a dead engine.
+    // Resumes the stream on a new connection, which distinguishes a broken connection from a failed engine.
     private void probe(String reason) {
-        log.broken(attempt, position.nextOffset(), reason);
+        log.broken(primary, position.nextOffset(), reason);
         if (promoteHedge(reason)) {
             return;
         }
-        boolean patient = !attempt.hasProgress()
-                && traffic.nowMillis() - attempt.startMillis()
+        boolean waitingForFirstToken = !primary.hasProgress()
+                && traffic.nowMillis() - primary.startMillis()
                         < 2L * request.policy().firstTokenDeadlineMillis();
-        if (attempt.countProbe() > MAX_FRUITLESS_PROBES && !patient) {
-            leaveEngine("the engine's stream makes no progress", true);
+        if (primary.incrementProbes() > MAX_PROBES_WITHOUT_PROGRESS && !waitingForFirstToken) {
+            failOver("the engine's stream makes no progress", true);
             return;
         }
-        attempt.stream().abort();
-        traffic.metrics().streamProbes.inc();
+        primary.stream().abort();
+        traffic.metrics().reconnectProbes.inc();
         openResumedStream();
     }
 
     private void openResumedStream() {
-        attempt.setProbing(true);
-        attempt.setPaused(false);
-        long from = attempt.engineOffset(position.nextOffset());
-        attempt.setStream(new EngineStream(
-                traffic.client().resume(attempt.engine().baseUrl(), attempt.engineRequestId(), from),
+        primary.setProbing(true);
+        primary.setPaused(false);
+        long from = primary.engineOffset(position.nextOffset());
+        primary.setStream(new EngineStream(
+                traffic.client().resume(primary.engine().baseUrl(), primary.engineRequestId(), from),
                 this,
                 traffic::nowMillis));
-        attempt.stream().start();
+        primary.stream().start();
     }
 
-    private void resumeRefused(int status) {
+    private void handleResumeRefused(int status) {
         if (resumedByCaller && position.isAtStart() && position.textKnown() && position.firstForwarded() > 0) {
-            // The engine may hold only the rest; without the text before, no other engine can continue it later.
+            // The engine may have only the rest of the stream; no other engine can continue it without the text before.
             position.startAt(position.firstForwarded());
             openResumedStream();
             return;
         }
-        diagnose("the engine no longer holds the stream: " + status);
+        diagnose("the engine refused to resume the stream with status " + status);
     }
 
     private void diagnose(String reason) {
-        Attempt current = attempt;
+        EngineAttempt current = primary;
         current.setDiagnosing(true);
         var unused = EngineDiagnosis.of(traffic.client(), current).thenAccept(result -> {
             synchronized (this) {
-                if (ended || attempt != current) {
+                if (ended || primary != current) {
                     return;
                 }
                 current.setDiagnosing(false);
                 if (result == EngineDiagnosis.CRASHED) {
-                    crashed(reason);
+                    handleCrash(reason);
                 } else {
-                    leaveEngine(reason, result == EngineDiagnosis.SILENT);
+                    failOver(reason, result == EngineDiagnosis.UNRESPONSIVE);
                 }
             }
         });
     }
 
-    private void crashed(String reason) {
-        Attempt current = attempt;
+    private void handleCrash(String reason) {
+        EngineAttempt current = primary;
         traffic.table().markUnreachable(current.engine(), reason);
         log.crashed(current, position.nextOffset());
         mayHaveRun = true;
         if (current.engineRequestId().startsWith(requestId)) {
             traffic.recordCrash(this, request, current.engine());
         } else {
-            traffic.recordCrashOfResumed(request);
+            traffic.recordCrashOfResumedStream(request);
         }
         if (position.isAtStart() && !resumedByCaller) {
-            // The request may be what crashed the engine, so that it is not sent to another one by itself.
-            leaveAttempt();
+            // The request may have caused the crash, so the router does not send it to another engine on its own.
+            releaseAttempt();
             endWith(new AgatelaneException(
                             FailureType.UPSTREAM_FAILED, "the engine failed while it ran the request: " + reason)
                     .withLocation(current.engine().name()));
@@ -494,78 +494,78 @@
         reroute(reason, true, false);
     }
 
-    private void leaveEngine(String reason, boolean silent) {
-        if (silent) {
-            traffic.table().markUnreachable(attempt.engine(), reason);
+    private void failOver(String reason, boolean unresponsive) {
+        if (unresponsive) {
+            traffic.table().markUnreachable(primary.engine(), reason);
         }
-        cancelAtEngine(attempt);
+        cancelAtEngine(primary);
         if (!promoteHedge(reason)) {
             reroute(reason, true, false);
         }
     }
 
-    // Sends the request, or the rest of it, to another engine; free of the retry budget when it was misplaced.
-    private void reroute(String reason, boolean ran, boolean misplaced) {
+    // Sends the request, or the rest of it, to another engine; free of the retry budget after a stale-view refusal.
+    private void reroute(String reason, boolean executed, boolean staleView) {
         if (promoteHedge(reason)) {
             return;
         }
-        mayHaveRun |= ran;
-        String last = attempt.engine().name();
-        leaveAttempt();
-        tried.add(last);
+        mayHaveRun |= executed;
+        String failedEngine = primary.engine().name();
+        releaseAttempt();
+        tried.add(failedEngine);
         try {
-            requireReroute(reason, misplaced, last);
-            if (misplaced && position.isAtStart()) {
-                // The last engine with the weights of this request may have begun to load others.
-                request = traffic.table().servedElsewhere(request, tried);
+            requireReroute(reason, staleView, failedEngine);
+            if (staleView && position.isAtStart()) {
+                // The last engine with the weights of this request may have started to load other weights.
+                request = traffic.table().withWeightsOfOtherEngine(request, tried);
                 profile = traffic.profile(request);
             }
             (position.isAtStart() ? traffic.metrics().retries : traffic.metrics().continuations).inc();
-            attempt = newRun(traffic.dispatcher().choose(request, requestId, profile, tried, runs + 1));
-            attempt.stream().start();
+            primary = newAttempt(traffic.dispatcher().choose(request, requestId, profile, tried, attemptCount + 1));
+            primary.stream().start();
         } catch (RuntimeException e) {
             endWith(AgatelaneException.from(e));
         }
     }
 
-    private void requireReroute(String reason, boolean misplaced, String last) {
+    private void requireReroute(String reason, boolean staleView, String failedEngine) {
         if (!position.textKnown() || (resumedByCaller && position.isAtStart())) {
             throw Admission.notResumable(reason);
         }
         if (traffic.admission().isQuarantined(request, traffic.nowMillis())) {
             throw Admission.quarantined();
         }
-        boolean affordable = misplaced
+        boolean withinBudget = staleView
                 || !position.isAtStart()
                 || traffic.admission().retries().tryTake();
-        if (runs >= MAX_RUNS || !affordable) {
+        if (attemptCount >= MAX_ATTEMPTS || !withinBudget) {
             throw new AgatelaneException(FailureType.UPSTREAM_FAILED, "no engine completed the request: " + reason)
-                    .withLocation(last);
+                    .withLocation(failedEngine);
         }
     }
 
-    private void leaveAttempt() {
-        Attempt left = attempt;
-        attempt = null;
-        left.stream().abort();
-        left.lease().release(traffic.nowMillis());
+    private void releaseAttempt() {
+        EngineAttempt released = primary;
+        primary = null;
+        released.stream().abort();
+        released.reservation().release(traffic.nowMillis());
     }
 
-    private void cancelUnlessResumed(Attempt left) {
-        if (!traffic.usesEngineRequest(left.engineRequestId())) {
-            cancelAtEngine(left);
+    private void cancelUnlessResumed(EngineAttempt attempt) {
+        if (!traffic.usesEngineRequest(attempt.engineRequestId())) {
+            cancelAtEngine(attempt);
         }
     }
 
-    private void cancelAtEngine(Attempt left) {
-        traffic.client().cancel(left.engine().baseUrl(), left.engineRequestId());
+    private void cancelAtEngine(EngineAttempt attempt) {
+        traffic.client().cancel(attempt.engine().baseUrl(), attempt.engineRequestId());
     }
 
     private void complete() {
         long nowMillis = traffic.nowMillis();
-        attempt.recordService(nowMillis);
+        primary.recordService(nowMillis);
         traffic.metrics().completed.inc();
-        traffic.closeSoon(attempt.stream());
+        traffic.closeAfterGrace(primary.stream());
         mayHaveRun = true;
         end();
         sink.complete();
@@ -573,26 +573,26 @@
 
     private void endWith(AgatelaneException failure) {
         dropHedge();
-        boolean ran = mayHaveRun || (attempt != null && attempt.stream().maybeSent());
-        AgatelaneException truthful = failure.withExecuted(ran ? Executed.UNKNOWN : Executed.NO);
-        (runs == 0 ? traffic.metrics().refused : traffic.metrics().failed).inc();
-        log.failed(truthful);
+        boolean executed = mayHaveRun || (primary != null && primary.stream().mayHaveBeenSent());
+        AgatelaneException reportedFailure = failure.withExecuted(executed ? Executed.UNKNOWN : Executed.NO);
+        (attemptCount == 0 ? traffic.metrics().refused : traffic.metrics().failed).inc();
+        log.failed(reportedFailure);
         end();
-        sink.fail(truthful);
+        sink.fail(reportedFailure);
     }
 
     private void end() {
         ended = true;
         traffic.calls().remove(this);
-        if (attempt != null) {
-            attempt.lease().release(traffic.nowMillis());
-            if (!answer.finishSeen()) {
-                attempt.stream().abort();
+        if (primary != null) {
+            primary.reservation().release(traffic.nowMillis());
+            if (!assembler.finishSeen()) {
+                primary.stream().abort();
             }
         }
         if (chargedTokens > 0) {
-            boolean ran = mayHaveRun || attempt != null;
-            long promptTokens = ran ? request.prompt().tokenCount() : 0;
+            boolean executed = mayHaveRun || primary != null;
+            long promptTokens = executed ? request.prompt().tokenCount() : 0;
             traffic.admission()
                     .settle(request, chargedTokens, promptTokens, position.nextOffset(), traffic.nowMillis());
         }
--- a/agatelane-node/src/main/java/io/agatelane/node/io/engine/ChatHandler.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/io/engine/ChatHandler.java
@@ -19,7 +19,7 @@
 import org.eclipse.jetty.server.Response;
 import org.eclipse.jetty.util.Callback;
 
-/** Takes chat completions and model lists from callers. No thread waits for a stream. */
+/** Serves chat completions and the model list to callers. No thread is blocked while a response streams. */
 final class ChatHandler extends Handler.Abstract.NonBlocking {
     private static final EventLog LOG = EventLog.of(ChatHandler.class);
     private static final String CHAT_PATH = "/v1/chat/completions";
@@ -27,12 +27,12 @@
     private static final String LAST_EVENT_ID = "Last-Event-ID";
     private static final long SHUTDOWN_RETRY_MILLIS = 1_000;
 
-    private final Traffic traffic;
+    private final TrafficContext traffic;
     private final ConfigView config;
     private final Authenticator authenticator;
     private final CallGate gate;
 
-    ChatHandler(Traffic traffic, ConfigView config, Authenticator authenticator, CallGate gate) {
+    ChatHandler(TrafficContext traffic, ConfigView config, Authenticator authenticator, CallGate gate) {
         this.traffic = traffic;
         this.config = config;
         this.authenticator = authenticator;
@@ -43,17 +43,17 @@
     public boolean handle(Request request, Response response, Callback callback) {
         String path = Request.getPathInContext(request);
         if (path.equals(CHAT_PATH)) {
-            chat(request, response, callback);
+            handleChat(request, response, callback);
             return true;
         }
         if (path.equals(MODELS_PATH)) {
-            models(request, response, callback);
+            listModels(request, response, callback);
             return true;
         }
         return false;
     }
 
-    private void models(Request request, Response response, Callback callback) {
+    private void listModels(Request request, Response response, Callback callback) {
         try {
             requireMethod(request, response, "GET");
             authenticator.authenticate(request);
@@ -65,7 +65,7 @@
         }
     }
 
-    private void chat(Request request, Response response, Callback callback) {
+    private void handleChat(Request request, Response response, Callback callback) {
         traffic.metrics().requests.inc();
         if (!gate.enter()) {
             traffic.metrics().refused.inc();
@@ -78,26 +78,27 @@
             return;
         }
         traffic.metrics().active.inc();
-        AtomicBoolean left = new AtomicBoolean();
-        Runnable leave = () -> {
-            if (left.compareAndSet(false, true)) {
+        AtomicBoolean hasEnded = new AtomicBoolean();
+        Runnable endRequest = () -> {
+            if (hasEnded.compareAndSet(false, true)) {
                 traffic.metrics().active.dec();
                 gate.leave();
             }
         };
         // The call counts until its last byte is written, not only until its outcome is known.
-        Callback counted = Callback.from(leave, callback);
+        Callback countingCallback = Callback.from(endRequest, callback);
         try {
             requireMethod(request, response, "POST");
             ClientAccount account = authenticator.authenticate(request);
             var unused = BodyReader.read(request, traffic.context().settings().maxBodyBytes())
-                    .whenComplete((body, failure) -> bodyRead(request, response, counted, account, body, failure));
+                    .whenComplete(
+                            (body, failure) -> onBodyRead(request, response, countingCallback, account, body, failure));
         } catch (AgatelaneException e) {
-            refuse(response, counted, e);
+            refuse(response, countingCallback, e);
         }
     }
 
-    private void bodyRead(
+    private void onBodyRead(
             Request request,
             Response response,
             Callback callback,
@@ -120,29 +121,30 @@
         }
     }
 
-    private void startCall(Request request, Response response, Callback callback, ChatRequest chat) {
+    private void startCall(Request request, Response response, Callback callback, ChatRequest chatRequest) {
         String lastEventId = request.getHeaders().get(LAST_EVENT_ID);
         EventId lastEvent = lastEventId == null ? null : EventId.parse(lastEventId);
-        if (lastEvent != null && !chat.fingerprint().matches(lastEvent.requestId())) {
+        if (lastEvent != null && !chatRequest.fingerprint().matches(lastEvent.requestId())) {
             throw new AgatelaneException(
                     FailureType.STREAM_NOT_RESUMABLE,
                     "the Last-Event-ID belongs to another request; repeat the request without it");
         }
-        String requestId = chat.fingerprint().requestId(traffic.nextNonce());
+        String requestId = chatRequest.fingerprint().requestId(traffic.nextNonce());
         AtomicReference<ChatCall> call = new AtomicReference<>();
-        Runnable gone = () -> {
+        Runnable onDisconnect = () -> {
             ChatCall current = call.get();
             if (current != null) {
-                current.callerGone();
+                current.callerDisconnected();
             }
         };
-        CallerSink sink = chat.stream()
-                ? new StreamSink(response, callback, requestId, gone)
-                : new AnswerSink(response, callback, requestId);
-        call.set(new ChatCall(traffic, chat, requestId, sink));
-        // Waiting for an engine is not idleness; the silence bound watches the engine, a failed write the caller.
+        CallerSink sink = chatRequest.stream()
+                ? new StreamSink(response, callback, requestId, onDisconnect)
+                : new JsonResponseSink(response, callback, requestId);
+        call.set(new ChatCall(traffic, chatRequest, requestId, sink));
+        // The idle timeout ends the request only while a write to the caller is blocked: waiting for an engine is not
+        // idleness. ChatCall detects an idle engine, and a failed write shows that the caller disconnected.
         request.addIdleTimeoutListener(timeout -> sink.isBlocked());
-        request.addFailureListener(unused -> gone.run());
+        request.addFailureListener(unused -> onDisconnect.run());
         if (lastEvent == null) {
             call.get().start();
         } else {
@@ -155,7 +157,7 @@
         ProblemDocuments.write(response, callback, failure, refusalId());
     }
 
-    // Identity of a request that was refused before its body was known.
+    // Returns an id for a request that is refused before its body is known.
     private String refusalId() {
         return HexFormat.of().toHexDigits(traffic.nextNonce());
     }
--- a/agatelane-node/src/main/java/io/agatelane/node/io/engine/ChatRequest.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/io/engine/ChatRequest.java
@@ -15,7 +15,7 @@
 import io.agatelane.core.model.RoutingPolicy;
 import java.io.IOException;
 
-/** A checked chat-completions call. */
+/** A validated chat-completions request with the configuration that applies to it. */
 record ChatRequest(
         ClientAccount account,
         Model model,
@@ -30,23 +30,24 @@
             new ObjectMapper().enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS);
 
     /**
-     * Parses and checks the body of a call.
+     * Parses and validates the body of a request.
      *
-     * @throws AgatelaneException with the location of the first fault in the body
+     * @throws AgatelaneException with the location of the first error in the body
      */
     static ChatRequest parse(byte[] bytes, ClientAccount account, ConfigSnapshot config, EngineTable table) {
         ObjectNode body = readObject(bytes);
         String modelName = requireText(body, "model");
-        Model configured = config.model(modelName)
+        Model configuredModel = config.model(modelName)
                 .orElseThrow(() ->
                         new AgatelaneException(FailureType.MODEL_NOT_FOUND, "the model " + modelName + " is unknown"));
         RequestFingerprint fingerprint = RequestFingerprint.of(account.name(), bytes);
-        // The fingerprint as the seed gives a repeated request the same version, and so the same cache.
-        Model model = table.serving(configured, fingerprint.value());
+        // With the fingerprint as the seed, a repeated request gets the same weights version, and so the same prefix
+        // cache.
+        Model model = table.withServedWeights(configuredModel, fingerprint.value());
         requireOneChoice(body);
         boolean stream = readStream(body);
         int givenMaxTokens = readMaxTokens(body);
-        PromptDigests prompt = digest(body, account.name() + "/" + model.weightsVersion());
+        PromptDigests prompt = digestMessages(body, account.name() + "/" + model.weightsVersion());
         return new ChatRequest(
                 account,
                 model,
@@ -61,10 +62,10 @@
 
     /** Returns the request for another weights version, in the cache namespace of that version. */
     ChatRequest withWeightsVersion(String weightsVersion) {
-        Model other = model.withWeightsVersion(weightsVersion);
-        PromptDigests otherPrompt = digest(body, account.name() + "/" + weightsVersion);
+        Model otherModel = model.withWeightsVersion(weightsVersion);
+        PromptDigests otherPrompt = digestMessages(body, account.name() + "/" + weightsVersion);
         return new ChatRequest(
-                account, other, policy, body, otherPrompt, maxTokens, maxTokensGiven, stream, fingerprint);
+                account, otherModel, policy, body, otherPrompt, maxTokens, maxTokensGiven, stream, fingerprint);
     }
 
     /** Cache namespace at the engine: blocks are shared only within one account and weights version. */
@@ -100,7 +101,7 @@
 
     private static void requireOneChoice(ObjectNode body) {
         JsonNode node = body.get("n");
-        // Tokens are numbered in one sequence, so that a stream carries one choice.
+        // Tokens are numbered in one sequence, so a stream can carry only one choice.
         if (node != null && !node.isNull() && !(node.isInt() && node.intValue() == 1)) {
             throw malformed("\"n\" must be 1", "/n");
         }
@@ -132,7 +133,7 @@
         return 0;
     }
 
-    private static PromptDigests digest(ObjectNode body, String salt) {
+    private static PromptDigests digestMessages(ObjectNode body, String salt) {
         JsonNode messages = body.get("messages");
         if (messages == null || !messages.isArray() || messages.isEmpty()) {
             throw malformed("\"messages\" must be a non-empty array", "/messages");
@@ -144,12 +145,12 @@
             if (!message.isObject() || !message.path("role").isTextual()) {
                 throw malformed("each message must be an object with a \"role\"", pointer);
             }
-            digester.add(message.get("role").textValue(), content(message.path("content"), pointer));
+            digester.add(message.get("role").textValue(), messageText(message.path("content"), pointer));
         }
         return digester.build();
     }
 
-    private static String content(JsonNode content, String pointer) {
+    private static String messageText(JsonNode content, String pointer) {
         if (content.isTextual()) {
             return content.textValue();
         }
--- a/agatelane-node/src/main/java/io/agatelane/node/io/engine/Dispatcher.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/io/engine/Dispatcher.java
@@ -9,14 +9,14 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 
-/** Chooses the engine of a run and writes the decision to the log. */
+/** Chooses the engine of an attempt and writes the decision to the log. */
 final class Dispatcher {
     private static final long NO_UPSTREAM_RETRY_MILLIS = 1_000;
     private static final long LONG_SHARE_RETRY_MILLIS = 1_000;
 
-    private final Traffic traffic;
+    private final TrafficContext traffic;
 
-    Dispatcher(Traffic traffic) {
+    Dispatcher(TrafficContext traffic) {
         this.traffic = traffic;
     }
 
@@ -24,35 +24,37 @@
      * Chooses an engine.
      *
      * @param tried names of engines that must not be used
-     * @throws AgatelaneException when no engine may be used now
+     * @throws AgatelaneException when no engine can take the request now
      */
-    Choice choose(ChatRequest request, String requestId, RequestProfile profile, Set<String> tried, int run) {
+    EngineChoice choose(
+            ChatRequest request, String requestId, RequestProfile profile, Set<String> tried, int attemptNumber) {
         ModelFleet fleet = traffic.table().fleet(request.model());
         ChoiceRules rules =
                 new ChoiceRules(request.policy(), traffic.routers(), upstream -> tried.contains(upstream.name()));
         long startNanos = System.nanoTime();
         Decision decision = traffic.chooser().choose(fleet, profile, rules, traffic.nowMillis());
         traffic.metrics().decisionMicros.update(TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - startNanos));
-        RouteLog.write(requestId, request, decision, run);
+        RouteLog.write(requestId, request, decision, attemptNumber);
         if (decision.best() < 0) {
             throw noEngine(request, decision);
         }
         String name = decision.upstream(decision.best()).name();
         return traffic.table()
                 .engine(name)
-                .map(engine -> Choice.of(engine, decision, request.prompt().tokenCount()))
+                .map(engine ->
+                        EngineChoice.of(engine, decision, request.prompt().tokenCount()))
                 .orElseThrow(() -> noEngine(request, decision));
     }
 
     /**
-     * Prepares a run; the caller starts its stream.
+     * Prepares an attempt; the calling method starts its stream.
      *
-     * @param position how far the response is; the run continues from there
+     * @param position the position in the response from which the attempt continues
      */
-    Attempt newRun(
+    EngineAttempt newAttempt(
             EngineStream.Listener listener,
             ChatRequest request,
-            Choice choice,
+            EngineChoice choice,
             String engineRequestId,
             StreamPosition position,
             long arrivedMillis) {
@@ -63,24 +65,26 @@
             engine.state().recordProbe(nowMillis);
         }
         String incarnation = engine.state().report().incarnation();
-        int priority = EngineBody.priority(choice.longRequest(), nowMillis - arrivedMillis);
-        byte[] body = EngineBody.write(request, position, priority);
+        int priority = EngineRequestBody.priority(choice.longRequest(), nowMillis - arrivedMillis);
+        byte[] body = EngineRequestBody.write(request, position, priority);
         String weights = request.model().weightsVersion();
         EngineStream stream = new EngineStream(
                 traffic.client().chat(engine.baseUrl(), body, engineRequestId, incarnation, weights),
                 listener,
                 traffic::nowMillis);
-        // The place on the engine is taken last, so that a failure above cannot leave it taken.
-        Lease lease = new Lease(engine.state(), choice.prefillTokens(), choice.longRequest(), nowMillis);
-        Attempt run = new Attempt(choice, incarnation, engineRequestId, position.nextOffset(), lease, nowMillis);
-        run.setStream(stream);
-        return run;
+        // The reservation is made last, so that a failure above cannot leak it.
+        EngineReservation reservation =
+                new EngineReservation(engine.state(), choice.prefillTokens(), choice.longRequest(), nowMillis);
+        EngineAttempt attempt =
+                new EngineAttempt(choice, incarnation, engineRequestId, position.nextOffset(), reservation, nowMillis);
+        attempt.setStream(stream);
+        return attempt;
     }
 
     private static AgatelaneException noEngine(ChatRequest request, Decision decision) {
         for (int i = 0; i < decision.count(); i++) {
             if (decision.exclusion(i) == Decision.Exclusion.LONG_SHARE) {
-                return new AgatelaneException(FailureType.OVERLOADED, "all places for long requests are in use")
+                return new AgatelaneException(FailureType.OVERLOADED, "all slots for long requests are in use")
                         .withRetryAfterMillis(LONG_SHARE_RETRY_MILLIS);
             }
         }
--- a/agatelane-node/src/main/java/io/agatelane/node/io/engine/Engine.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/io/engine/Engine.java
@@ -16,7 +16,7 @@
         this.state = state;
     }
 
-    /** Returns a record with a newer configuration and the same state. */
+    /** Returns an engine with a newer configuration and the same state. */
     Engine withUpstream(Upstream newUpstream) {
         return new Engine(newUpstream, state);
     }
@@ -37,8 +37,8 @@
         return state;
     }
 
-    /** Takes the right to poll; false while another poll is running. */
-    boolean beginPoll() {
+    /** Marks a poll as running; returns false while another one is. */
+    boolean tryBeginPoll() {
         return polling.compareAndSet(false, true);
     }
 
--- a/agatelane-node/src/main/java/io/agatelane/node/io/engine/Attempt.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/io/engine/EngineAttempt.java
@@ -2,21 +2,21 @@
 
 import io.agatelane.core.routing.query.LoadEstimate;
 
-/** One run of a request on one engine. Guarded by the lock of its call. */
-final class Attempt {
+/** One attempt to run a request on one engine. Guarded by the lock of its {@link ChatCall}. */
+final class EngineAttempt {
     private static final long BASE_UNKNOWN = -1;
 
     private final Engine engine;
     private final String incarnation;
     private final String engineRequestId;
     private final long resumeTokens;
-    private final Lease lease;
-    private final Choice choice;
+    private final EngineReservation reservation;
+    private final EngineChoice choice;
     private final long startMillis;
     private EngineStream stream;
-    private long base;
-    private long progress;
-    private int fruitlessProbes;
+    private long responseBase;
+    private long receivedTokens;
+    private int probesWithoutProgress;
     private boolean probing;
     private boolean diagnosing;
     private boolean paused;
@@ -24,25 +24,26 @@
     private long firstTokenMillis = -1;
 
     /**
-     * Describes a run.
+     * Creates an attempt whose stream is set later.
      *
-     * @param resumeTokens tokens that the engine was told to continue after; 0 for a run from the start
+     * @param resumeTokens number of tokens after which the engine is to continue the response; 0 for an attempt from
+     *     the start
      */
-    Attempt(
-            Choice choice,
+    EngineAttempt(
+            EngineChoice choice,
             String incarnation,
             String engineRequestId,
             long resumeTokens,
-            Lease lease,
+            EngineReservation reservation,
             long startMillis) {
         this.choice = choice;
         this.engine = choice.engine();
         this.incarnation = incarnation;
         this.engineRequestId = engineRequestId;
         this.resumeTokens = resumeTokens;
-        this.lease = lease;
+        this.reservation = reservation;
         this.startMillis = startMillis;
-        this.base = resumeTokens == 0 ? 0 : BASE_UNKNOWN;
+        this.responseBase = resumeTokens == 0 ? 0 : BASE_UNKNOWN;
     }
 
     Engine engine() {
@@ -57,13 +58,13 @@
         return engineRequestId;
     }
 
-    /** The decision that led to this run. */
-    Choice choice() {
+    /** The routing decision that led to this attempt. */
+    EngineChoice choice() {
         return choice;
     }
 
-    Lease lease() {
-        return lease;
+    EngineReservation reservation() {
+        return reservation;
     }
 
     long startMillis() {
@@ -80,32 +81,32 @@
 
     /**
      * Converts an engine's offset to the offset in the whole response. Engines number a continued response from the
-     * first continued token or from 0; the first event tells which.
+     * first continued token or from 0; the first event shows which.
      */
-    long answerOffset(long engineOffset) {
-        if (base == BASE_UNKNOWN) {
-            base = engineOffset >= resumeTokens ? 0 : resumeTokens;
+    long responseOffset(long engineOffset) {
+        if (responseBase == BASE_UNKNOWN) {
+            responseBase = engineOffset >= resumeTokens ? 0 : resumeTokens;
         }
-        return base + engineOffset;
+        return responseBase + engineOffset;
     }
 
     /** Converts an offset in the whole response to the engine's numbering. */
-    long engineOffset(long answerOffset) {
-        return base == BASE_UNKNOWN ? 0 : Math.max(0, answerOffset - base);
+    long engineOffset(long responseOffset) {
+        return responseBase == BASE_UNKNOWN ? 0 : Math.max(0, responseOffset - responseBase);
     }
 
-    /** Records that the stream delivered something, so that earlier probes do not count any more. */
+    /** Records that the stream delivered a token, which resets the number of probes without progress. */
     void recordProgress() {
-        progress++;
-        fruitlessProbes = 0;
+        receivedTokens++;
+        probesWithoutProgress = 0;
     }
 
     boolean hasProgress() {
-        return progress > 0;
+        return receivedTokens > 0;
     }
 
-    int countProbe() {
-        return ++fruitlessProbes;
+    int incrementProbes() {
+        return ++probesWithoutProgress;
     }
 
     /** Whether the current stream replaces an earlier connection and has not been accepted yet. */
@@ -117,7 +118,7 @@
         probing = newProbing;
     }
 
-    /** Whether the connection broke and the router is finding out what happened to the engine. */
+    /** Whether the connection broke and the router is checking the state of the engine. */
     boolean isDiagnosing() {
         return diagnosing;
     }
@@ -126,7 +127,7 @@
         diagnosing = newDiagnosing;
     }
 
-    /** Whether the caller reads too slowly, so that the router asks the engine for nothing. */
+    /** Whether reading from the engine is paused because the caller reads too slowly. */
     boolean isPaused() {
         return paused;
     }
@@ -136,8 +137,9 @@
     }
 
     /**
-     * Returns observed over expected time to first token if it has passed the next step, else 0. Steps double, so that a
-     * request which waits long counts a few times and not at every check.
+     * Returns the ratio of elapsed to expected time to first token if it has reached the next threshold, else 0. The
+     * next threshold is twice the returned ratio, so that a request that waits long is counted a few times and not at
+     * every check.
      */
     double overdueFactor(long nowMillis) {
         double factor = (nowMillis - startMillis) / choice.expectedMillis();
@@ -148,7 +150,9 @@
         return factor;
     }
 
-    /** Adds the service time of this run to the engine's estimate: its prefill and its decoding, without the queue. */
+    /**
+     * Adds the service time of this attempt to the engine's estimate: its prefill and its decoding, without queueing.
+     */
     void recordService(long nowMillis) {
         if (firstTokenMillis >= 0) {
             double prefillMillis = LoadEstimate.prefillMillis(engine.state().report(), (double) choice.prefillTokens());
--- a/agatelane-node/src/main/java/io/agatelane/node/io/engine/EngineEvents.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/io/engine/EngineCacheEvents.java
@@ -9,59 +9,64 @@
 import java.util.concurrent.TimeUnit;
 import org.eclipse.jetty.http.HttpFields;
 
-/** Follows the cache events of engines and turns them into hints. Nothing depends on them for correctness. */
-final class EngineEvents {
-    private static final EventLog LOG = EventLog.of(EngineEvents.class);
-    private static final long PERIOD_MILLIS = 1_000;
-    // A stream without events for this long is opened again, because a dead connection looks the same.
-    private static final long SILENCE_MILLIS = 30_000;
-    private static final long UNSUPPORTED_MILLIS = 60_000;
-    // Bounds the work of a router in a large fleet; engines beyond it are known by the router's own responses only.
-    private static final int MAX_FOLLOWED = 64;
-
-    private final Traffic traffic;
+/**
+ * Follows the cache events of engines and turns them into hints about cached prefixes. Hints improve routing, but
+ * nothing depends on them for correctness.
+ */
+final class EngineCacheEvents {
+    private static final EventLog LOG = EventLog.of(EngineCacheEvents.class);
+    private static final long UPDATE_PERIOD_MILLIS = 1_000;
+    // A stream without events for this long is reopened, because a dead connection looks the same.
+    private static final long IDLE_TIMEOUT_MILLIS = 30_000;
+    private static final long UNSUPPORTED_RETRY_MILLIS = 60_000;
+    // Bounds the work of a router in a large fleet; for engines beyond it, hints come only from the responses that this
+    // router receives.
+    private static final int MAX_FOLLOWED_ENGINES = 64;
+
+    private final TrafficContext traffic;
     private final Map<String, Follower> followers = new HashMap<>();
 
-    EngineEvents(Traffic traffic) {
+    EngineCacheEvents(TrafficContext traffic) {
         this.traffic = traffic;
     }
 
     void start() {
-        var unused =
-                traffic.timer().scheduleWithFixedDelay(this::reviewGuarded, 0, PERIOD_MILLIS, TimeUnit.MILLISECONDS);
+        var unused = traffic.timer()
+                .scheduleWithFixedDelay(this::updateFollowersSafely, 0, UPDATE_PERIOD_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    private void reviewGuarded() {
+    private void updateFollowersSafely() {
         try {
-            review();
+            updateFollowers();
         } catch (RuntimeException e) {
             LOG.event("engine_events_failed").error(e);
         }
     }
 
     // Runs on the timer thread only.
-    private void review() {
+    private void updateFollowers() {
         Map<String, Engine> engines = traffic.table().engines();
         followers.entrySet().removeIf(entry -> {
-            boolean gone = engines.get(entry.getKey()) == null;
-            if (gone) {
+            boolean removed = engines.get(entry.getKey()) == null;
+            if (removed) {
                 entry.getValue().close();
             }
-            return gone;
+            return removed;
         });
         String zone = traffic.context().settings().availabilityZone();
         for (Engine engine : engines.values()) {
-            boolean near = engine.upstream().availabilityZone().equals(zone) || engines.size() <= MAX_FOLLOWED;
-            boolean room = followers.containsKey(engine.name()) || followers.size() < MAX_FOLLOWED;
-            if (near && room && engine.state().reachable()) {
+            boolean eligible =
+                    engine.upstream().availabilityZone().equals(zone) || engines.size() <= MAX_FOLLOWED_ENGINES;
+            boolean hasCapacity = followers.containsKey(engine.name()) || followers.size() < MAX_FOLLOWED_ENGINES;
+            if (eligible && hasCapacity && engine.state().reachable()) {
                 followers
                         .computeIfAbsent(engine.name(), unused -> new Follower())
-                        .review(engine);
+                        .reconnectIfNeeded(engine);
             }
         }
     }
 
-    /** The event stream of one engine. */
+    /** Follows the event stream of one engine. */
     private final class Follower implements EngineStream.Listener {
         private static final long NO_SEQUENCE = -1;
 
@@ -70,15 +75,15 @@
         private String incarnation = "";
         private long lastSequence = NO_SEQUENCE;
         private long hintKey;
-        private long nextTryMillis = Long.MIN_VALUE;
+        private long nextAttemptMillis = Long.MIN_VALUE;
 
-        synchronized void review(Engine current) {
+        synchronized void reconnectIfNeeded(Engine current) {
             long nowMillis = traffic.nowMillis();
             engine = current;
-            if (stream != null && nowMillis - stream.lastByteMillis() > SILENCE_MILLIS) {
+            if (stream != null && nowMillis - stream.lastByteMillis() > IDLE_TIMEOUT_MILLIS) {
                 close();
             }
-            if (stream == null && nowMillis >= nextTryMillis) {
+            if (stream == null && nowMillis >= nextAttemptMillis) {
                 stream = new EngineStream(
                         traffic.client().events(engine.baseUrl(), lastSequence + 1), this, traffic::nowMillis);
                 stream.start();
@@ -93,7 +98,7 @@
         }
 
         @Override
-        public synchronized void onHead(EngineStream source, HttpFields headers) {
+        public synchronized void onHeaders(EngineStream source, HttpFields headers) {
             String received = String.valueOf(headers.get("X-Engine-Incarnation"));
             if (!received.equals(incarnation)) {
                 incarnation = received;
@@ -132,7 +137,7 @@
         @Override
         public synchronized void onRefused(EngineStream source, int status, String body) {
             stream = null;
-            nextTryMillis = traffic.nowMillis() + UNSUPPORTED_MILLIS;
+            nextAttemptMillis = traffic.nowMillis() + UNSUPPORTED_RETRY_MILLIS;
             LOG.event("engine_events_refused")
                     .with("upstream", engine.name())
                     .with("status", status)
@@ -154,7 +159,7 @@
                         .forEach(digest -> traffic.hints().remove(hintKey, parse(digest)));
                 case "cleared" -> dropHints();
                 default -> {
-                    // Later versions may add types that this one does not need.
+                    // Event types that later engine versions add are ignored.
                 }
             }
         }
--- a/agatelane-node/src/main/java/io/agatelane/node/io/engine/CallLog.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/io/engine/EngineCallLog.java
@@ -3,13 +3,13 @@
 import io.agatelane.core.failure.AgatelaneException;
 import io.agatelane.node.util.EventLog;
 
-/** Writes the log lines of one request. */
-final class CallLog {
-    private static final EventLog LOG = EventLog.of(CallLog.class);
+/** Writes the log events of one chat request. */
+final class EngineCallLog {
+    private static final EventLog LOG = EventLog.of(EngineCallLog.class);
 
     private final String requestId;
 
-    CallLog(String requestId) {
+    EngineCallLog(String requestId) {
         this.requestId = requestId;
     }
 
@@ -20,37 +20,37 @@
                 .info();
     }
 
-    void mismatch(Attempt run, String receivedId) {
-        event("response_mismatch", run.engine().name())
-                .with("expected", run.engineRequestId())
+    void mismatch(EngineAttempt attempt, String receivedId) {
+        event("response_mismatch", attempt.engine().name())
+                .with("expected", attempt.engineRequestId())
                 .with("received", String.valueOf(receivedId))
                 .warning();
     }
 
-    void refused(Attempt run, int status, String type) {
-        event("engine_refused", run.engine().name())
+    void refused(EngineAttempt attempt, int status, String type) {
+        event("engine_refused", attempt.engine().name())
                 .with("status", status)
                 .with("type", type)
                 .warning();
     }
 
-    void broken(Attempt run, long offset, String reason) {
-        event("stream_broken", run.engine().name())
+    void broken(EngineAttempt attempt, long offset, String reason) {
+        event("stream_broken", attempt.engine().name())
                 .with("offset", offset)
                 .with("reason", reason)
                 .warning();
     }
 
-    void crashed(Attempt run, long offset) {
-        event("engine_crashed", run.engine().name()).with("offset", offset).warning();
+    void crashed(EngineAttempt attempt, long offset) {
+        event("engine_crashed", attempt.engine().name()).with("offset", offset).warning();
     }
 
-    void hedgePromoted(Attempt run, String reason) {
-        event("hedge_promoted", run.engine().name()).with("reason", reason).info();
+    void hedgePromoted(EngineAttempt attempt, String reason) {
+        event("hedge_promoted", attempt.engine().name()).with("reason", reason).info();
     }
 
-    void hedgeWithoutEngine(Attempt run, long waitedMillis) {
-        event("hedge_without_engine", run.engine().name())
+    void hedgeWithoutEngine(EngineAttempt attempt, long waitedMillis) {
+        event("hedge_without_engine", attempt.engine().name())
                 .with("waited_millis", waitedMillis)
                 .info();
     }
--- a/agatelane-node/src/main/java/io/agatelane/node/io/engine/EngineChunk.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/io/engine/EngineChunk.java
@@ -7,35 +7,35 @@
 import org.eclipse.jetty.http.HttpFields;
 import org.eclipse.jetty.http.HttpStatus;
 
-/** Reads the parts of an engine's chunks that the router needs. */
+/** Reads the fields of an engine's chunks and error documents that the router needs. */
 final class EngineChunk {
-    private static final String MISMATCH = "_mismatch";
-    private static final String LOADING = "loading_weights";
-    private static final String OVERLOADED = "overloaded";
+    private static final String MISMATCH_SUFFIX = "_mismatch";
+    private static final String LOADING_TYPE = "loading_weights";
+    private static final String OVERLOADED_TYPE = "overloaded";
 
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
     private EngineChunk() {}
 
-    /** Whether a response is the one that was asked for. */
-    enum Head {
+    /** Whether a response belongs to the request that was sent. */
+    enum HeaderCheck {
         EXPECTED,
         OTHER_REQUEST,
         OTHER_ENGINE
     }
 
     /**
-     * Compares the head of a response with the request.
+     * Compares the headers of a response with the attempt.
      *
-     * @param weights weights version that must have answered; null when any may
+     * @param weights weights version that must have served the request; null when any may
      */
-    static Head checkHead(HttpFields headers, Attempt run, String weights) {
-        if (!run.engineRequestId().equals(headers.get("X-Request-Id"))) {
-            return Head.OTHER_REQUEST;
+    static HeaderCheck checkHeaders(HttpFields headers, EngineAttempt attempt, String weights) {
+        if (!attempt.engineRequestId().equals(headers.get("X-Request-Id"))) {
+            return HeaderCheck.OTHER_REQUEST;
         }
-        boolean same = matches(headers.get("X-Engine-Incarnation"), run.incarnation())
+        boolean sameEngine = matches(headers.get("X-Engine-Incarnation"), attempt.incarnation())
                 && (weights == null || matches(headers.get("X-Weights-Version"), weights));
-        return same ? Head.EXPECTED : Head.OTHER_ENGINE;
+        return sameEngine ? HeaderCheck.EXPECTED : HeaderCheck.OTHER_ENGINE;
     }
 
     /** Returns the chunk in an event; null when it is not a JSON object. */
@@ -52,8 +52,8 @@
     }
 
     /**
-     * Whether the event is a token. A token may have no text, for example a part of a character, and is then known by
-     * its offset; the last chunk has an offset but is no token unless it has text.
+     * Whether the event is a token. A token may have no text, for example a part of a character, and is then recognized
+     * by its offset; the last chunk has an offset but is not a token unless it has text.
      */
     static boolean isToken(SseParser.Event event, JsonNode chunk) {
         boolean numbered = EventId.parseOffset(event.id()) >= 0;
@@ -82,15 +82,16 @@
         }
     }
 
-    /** Whether a refusal says that nothing of the request ran. */
-    static boolean isRefusedUnrun(int status, String type) {
-        return isMisplaced(status, type) || (status == HttpStatus.SERVICE_UNAVAILABLE_503 && type.equals(OVERLOADED));
+    /** Whether a refusal shows that the engine executed no part of the request. */
+    static boolean isRefusedBeforeExecution(int status, String type) {
+        return isStaleViewRefusal(status, type)
+                || (status == HttpStatus.SERVICE_UNAVAILABLE_503 && type.equals(OVERLOADED_TYPE));
     }
 
     /** Whether a refusal means that this router's view of the engine was out of date. */
-    static boolean isMisplaced(int status, String type) {
-        return (status == HttpStatus.CONFLICT_409 && type.endsWith(MISMATCH))
-                || (status == HttpStatus.SERVICE_UNAVAILABLE_503 && type.equals(LOADING));
+    static boolean isStaleViewRefusal(int status, String type) {
+        return (status == HttpStatus.CONFLICT_409 && type.endsWith(MISMATCH_SUFFIX))
+                || (status == HttpStatus.SERVICE_UNAVAILABLE_503 && type.equals(LOADING_TYPE));
     }
 
     private static boolean matches(String received, String expected) {
--- a/agatelane-node/src/main/java/io/agatelane/node/io/engine/EngineClient.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/io/engine/EngineClient.java
@@ -19,7 +19,7 @@
 import org.eclipse.jetty.http.HttpMethod;
 import org.eclipse.jetty.util.thread.QueuedThreadPool;
 
-/** HTTP calls to engines. */
+/** HTTP client for the chat, stream, cache event and load endpoints of engines. */
 final class EngineClient implements AutoCloseable {
     private static final int MAX_CONNECTIONS_PER_ENGINE = 4_096;
     private static final int CONNECT_TIMEOUT_MILLIS = 500;
@@ -74,7 +74,7 @@
         return client.newRequest(URI.create(baseUrl + "/events?from=" + from)).method(HttpMethod.GET);
     }
 
-    /** Cancels a stream. Failures are ignored, because an engine that is gone runs nothing. */
+    /** Cancels a stream. Failures are ignored, because an engine that has stopped runs nothing. */
     void cancel(String baseUrl, String requestId) {
         client.newRequest(URI.create(baseUrl + "/v1/streams/" + requestId))
                 .method(HttpMethod.DELETE)
@@ -83,10 +83,10 @@
     }
 
     /**
-     * Gets a small document with any status.
+     * Gets a small document; a response with any status completes the future.
      *
-     * @return fails with {@code NO_UPSTREAM} when the connection is refused, {@code UPSTREAM_TIMEOUT} when nothing
-     *     answers in time, {@code UPSTREAM_FAILED} when the connection breaks
+     * @return fails with {@code NO_UPSTREAM} when the connection is refused, {@code UPSTREAM_TIMEOUT} when no response
+     *     arrives in time, {@code UPSTREAM_FAILED} when the connection breaks
      */
     CompletableFuture<SmallResponse> get(String baseUrl, String path, long timeoutMillis) {
         CompletableFuture<SmallResponse> future = new CompletableFuture<>();
@@ -97,7 +97,7 @@
                     public void onComplete(Result result) {
                         if (result.isFailed()) {
                             future.completeExceptionally(
-                                    typed(result.getFailure()).withLocation(baseUrl));
+                                    toAgatelaneException(result.getFailure()).withLocation(baseUrl));
                             return;
                         }
                         future.complete(new SmallResponse(
@@ -110,20 +110,20 @@
     }
 
     /** Describes a failure without the state dumps that the HTTP client puts into its messages. */
-    static String brief(Throwable failure) {
+    static String describe(Throwable failure) {
         String message = failure.getMessage();
         String name = failure.getClass().getSimpleName();
         return message == null || message.length() > MAX_MESSAGE_LENGTH ? name : name + ": " + message;
     }
 
-    private static AgatelaneException typed(Throwable failure) {
+    private static AgatelaneException toAgatelaneException(Throwable failure) {
         FailureType type = FailureType.UPSTREAM_FAILED;
         if (failure instanceof TimeoutException || failure instanceof SocketTimeoutException) {
             type = FailureType.UPSTREAM_TIMEOUT;
         } else if (failure instanceof ConnectException) {
             type = FailureType.NO_UPSTREAM;
         }
-        return new AgatelaneException(type, brief(failure), failure);
+        return new AgatelaneException(type, describe(failure), failure);
     }
 
     @Override
@@ -135,6 +135,6 @@
         }
     }
 
-    /** A whole response. */
+    /** A response with its whole body. */
     record SmallResponse(int status, HttpFields headers, String body) {}
 }
--- a/agatelane-node/src/main/java/io/agatelane/node/io/engine/EngineBody.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/io/engine/EngineRequestBody.java
@@ -7,19 +7,19 @@
 import io.agatelane.core.failure.AgatelaneException;
 import io.agatelane.core.failure.FailureType;
 
-/** Builds the body that goes to an engine. */
-final class EngineBody {
+/** Builds the body of a chat request to an engine. */
+final class EngineRequestBody {
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
     private static final int SHORT_PRIORITY = 100;
     private static final int LONG_PRIORITY = 1_000;
     private static final long AGE_STEP_MILLIS = 100;
 
-    private EngineBody() {}
+    private EngineRequestBody() {}
 
     /**
-     * Returns the engine priority of a run; lower runs sooner. Short work goes first, and a run that is sent again goes
-     * before younger ones of its class; long work never gets before short work.
+     * Returns the engine priority of an attempt; lower values run sooner. Short requests go first, and a retried
+     * request goes before younger ones of its class, but a long request never before a short one.
      */
     static int priority(boolean longRequest, long ageMillis) {
         int base = longRequest ? LONG_PRIORITY : SHORT_PRIORITY;
@@ -28,9 +28,9 @@
     }
 
     /**
-     * Returns the caller's body with the fields that the router owns. Engines always stream, so that a response that was
-     * not asked for as a stream can be continued as well. Values of these fields from the caller are replaced: a caller
-     * must not choose its cache namespace or priority.
+     * Returns the caller's body with the fields that the router controls. Engines always stream, so that a response
+     * that the caller did not request as a stream can be continued as well. Values of these fields from the caller are
+     * replaced: a caller must not choose its cache namespace or priority.
      */
     static byte[] write(ChatRequest request, StreamPosition position, int priority) {
         ObjectNode body = JsonNodeFactory.instance.objectNode();
@@ -48,7 +48,8 @@
         try {
             return MAPPER.writeValueAsBytes(body);
         } catch (JsonProcessingException e) {
-            throw new AgatelaneException(FailureType.INTERNAL, "the engine's body could not be written", e);
+            throw new AgatelaneException(
+                    FailureType.INTERNAL, "the request body for the engine could not be serialized", e);
         }
     }
 }
--- a/agatelane-node/src/main/java/io/agatelane/node/io/engine/EngineStream.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/io/engine/EngineStream.java
@@ -23,24 +23,24 @@
     private final SseParser parser = new SseParser(MAX_EVENT_BYTES);
     private final ByteArrayOutputStream errorBody = new ByteArrayOutputStream();
     private volatile long lastByteMillis;
-    private volatile boolean sent;
+    private volatile boolean requestStarted;
     private volatile boolean aborted;
     private volatile boolean complete;
 
     /** Receives what the stream delivers, in order and one call at a time. */
     interface Listener {
-        /** The engine accepted the request. */
-        void onHead(EngineStream stream, HttpFields headers);
+        /** Called when the engine accepted the request. */
+        void onHeaders(EngineStream stream, HttpFields headers);
 
         void onEvent(EngineStream stream, SseParser.Event event);
 
-        /** Asks for more once the listener can take it. */
+        /** Runs the demand for more data once the listener can take it. */
         void whenReady(EngineStream stream, Runnable demand);
 
-        /** The engine answered with another status than 200. */
+        /** Called when the engine responded with another status than 200. */
         void onRefused(EngineStream stream, int status, String body);
 
-        /** The response ended; the failure is null when the connection ended it in order. */
+        /** Called when the response ended; the failure is null when it ended normally. */
         void onEnd(EngineStream stream, Throwable failure);
     }
 
@@ -52,19 +52,19 @@
     }
 
     void start() {
-        request.onRequestBegin(unused -> sent = true)
+        request.onRequestBegin(unused -> requestStarted = true)
                 .onResponseHeaders(this::headers)
                 .onResponseContentAsync(this::content)
                 .send(this::complete);
     }
 
-    /** Ends the exchange; the listener hears nothing more. */
+    /** Aborts the exchange; the listener is not called any more. */
     void abort() {
         aborted = true;
         var unused = request.abort(new CancellationException("the stream is no longer needed"));
     }
 
-    /** Stops reporting but lets the response end in order, so that its connection can be used again. */
+    /** Stops calling the listener but lets the response end normally, so that its connection can be reused. */
     void detach() {
         aborted = true;
     }
@@ -73,20 +73,20 @@
         return complete;
     }
 
-    /** Monotonic time at which the last byte arrived, or of the start. */
+    /** Monotonic time at which the last byte was received, or at which this stream was created. */
     long lastByteMillis() {
         return lastByteMillis;
     }
 
     /** Whether a byte of the request may have reached the engine. */
-    boolean maybeSent() {
-        return sent;
+    boolean mayHaveBeenSent() {
+        return requestStarted;
     }
 
     private void headers(Response response) {
         lastByteMillis = clock.getAsLong();
         if (!aborted && response.getStatus() == OK) {
-            listener.onHead(this, response.getHeaders());
+            listener.onHeaders(this, response.getHeaders());
         }
     }
 
--- a/agatelane-node/src/main/java/io/agatelane/node/io/engine/EngineTable.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/io/engine/EngineTable.java
@@ -27,11 +27,11 @@
     private static final double SAME_ZONE_ROUND_TRIP_MILLIS = 0.5;
     private static final double OTHER_ZONE_ROUND_TRIP_MILLIS = 5;
     private static final double ROUND_TRIP_WEIGHT = 0.05;
-    private static final long PEER_MARK_MILLIS = 2_000;
+    private static final long MIN_PEER_MARK_MILLIS = 2_000;
 
     private final NodeContext context;
     private volatile Map<String, Engine> engines = Map.of();
-    private volatile Map<String, ServedModel> served = Map.of();
+    private volatile Map<String, ServedModel> servedModels = Map.of();
     private volatile ConfigSnapshot config = ConfigSnapshot.empty();
 
     EngineTable(NodeContext context) {
@@ -47,14 +47,14 @@
         return Optional.ofNullable(engines.get(name));
     }
 
-    /** The ready engines of a model with its weights version; empty for an unknown one. */
+    /** Returns the engines of a model with its weights version; empty for an unknown model. */
     ModelFleet fleet(Model model) {
-        ServedModel current = served.get(model.name());
+        ServedModel current = servedModels.get(model.name());
         ModelFleet fleet = current == null ? null : current.fleets().get(model.weightsVersion());
         if (fleet != null) {
             return fleet;
         }
-        // The configuration is newer than the snapshot of the control thread for a moment.
+        // The configuration can be newer than the fleets built by the control thread for a moment.
         return new ModelFleet(
                 model.name(),
                 model.weightsVersion(),
@@ -63,8 +63,8 @@
     }
 
     /** Returns the model with the weights version that serves a request. */
-    Model serving(Model configured, long seed) {
-        ServedModel current = served.get(configured.name());
+    Model withServedWeights(Model configured, long seed) {
+        ServedModel current = servedModels.get(configured.name());
         if (current == null) {
             return configured;
         }
@@ -72,25 +72,28 @@
         return version.equals(configured.weightsVersion()) ? configured : configured.withWeightsVersion(version);
     }
 
-    /** Returns the request for weights that an engine outside the tried ones has; unchanged if its own are there. */
-    ChatRequest servedElsewhere(ChatRequest request, Set<String> tried) {
-        ServedModel current = served.get(request.model().name());
-        if (current == null || hasUntried(fleet(request.model()), tried)) {
+    /**
+     * Returns the request with a weights version that a ready engine outside the tried ones serves; unchanged if its
+     * own version is still served by such an engine.
+     */
+    ChatRequest withWeightsOfOtherEngine(ChatRequest request, Set<String> tried) {
+        ServedModel current = servedModels.get(request.model().name());
+        if (current == null || hasReadyUntried(fleet(request.model()), tried)) {
             return request;
         }
         return current.fleets().values().stream()
-                .filter(fleet -> hasUntried(fleet, tried))
+                .filter(fleet -> hasReadyUntried(fleet, tried))
                 .findFirst()
                 .map(fleet -> request.withWeightsVersion(fleet.weightsVersion()))
                 .orElse(request);
     }
 
-    /** Takes over the engines of a new configuration. */
+    /** Applies the engines of a new configuration. */
     void applyConfig(ConfigSnapshot snapshot) {
         TreeMap<String, Engine> next = new TreeMap<>();
         for (Upstream upstream : snapshot.upstreams()) {
             if (upstream.isEngine()) {
-                next.put(upstream.name(), carryOver(upstream));
+                next.put(upstream.name(), reuseOrCreate(upstream));
             }
         }
         engines = Collections.unmodifiableMap(next);
@@ -98,7 +101,7 @@
         rebuildFleets();
     }
 
-    /** Takes over an engine's report. */
+    /** Applies a load report of an engine. */
     void applyReport(Engine engine, LoadReport report, double roundTripMillis) {
         UpstreamState state = engine.state();
         LoadReport previous = state.report();
@@ -106,10 +109,11 @@
         engine.setFailedPolls(0);
         state.setReachable(true);
         state.setReport(report);
-        state.setRoundTripMillis(roundTrip(state.roundTripMillis(), roundTripMillis));
-        // A peer's mark ends once the engine itself, some time later, does not report that it is leaving.
-        boolean markIsOld = report.measuredAtMillis() - state.leavingByPeerMillis() > PEER_MARK_MILLIS;
-        if (state.leavingByPeer() && !report.draining() && markIsOld) {
+        state.setRoundTripMillis(smoothedRoundTripMillis(state.roundTripMillis(), roundTripMillis));
+        // A draining mark set by a peer is cleared once a later report of the engine itself does not say that it is
+        // draining.
+        boolean markExpired = report.measuredAtMillis() - state.leavingByPeerMillis() > MIN_PEER_MARK_MILLIS;
+        if (state.leavingByPeer() && !report.draining() && markExpired) {
             state.setLeavingByPeer(false, report.measuredAtMillis());
         }
         boolean replaced = previous == null
@@ -129,7 +133,7 @@
     }
 
     /** Puts stragglers on probation and ends probations. Runs on the control thread. */
-    void reviewProbations(long nowMillis) {
+    void updateProbations(long nowMillis) {
         for (Model model : config.models()) {
             for (UpstreamState state : ProbationReview.review(statesOf(model), nowMillis)) {
                 LOG.event(state.probation() ? "probation_started" : "probation_ended")
@@ -140,7 +144,7 @@
         }
     }
 
-    /** Stops new work to an engine that cannot be reached. Safe on every thread. */
+    /** Stops routing to an engine that cannot be reached. Thread-safe. */
     void markUnreachable(Engine engine, String reason) {
         if (!engine.state().reachable()) {
             return;
@@ -153,13 +157,13 @@
         context.control().execute(this::rebuildFleets);
     }
 
-    /** Builds the snapshots that decisions read. Runs on the control thread. */
+    /** Rebuilds the snapshots that routing decisions read. Runs on the control thread. */
     void rebuildFleets() {
         Map<String, ServedModel> next = new HashMap<>();
         for (Model model : config.models()) {
             next.put(model.name(), servedModel(model));
         }
-        served = next;
+        servedModels = next;
     }
 
     private ServedModel servedModel(Model model) {
@@ -180,15 +184,15 @@
         return new ServedModel(fleets, VersionChoice.of(fleets));
     }
 
-    // A poll measures the network and whatever delays both processes. The shortest polls are closest to the network, so
-    // the estimate falls at once and rises slowly; the first polls after a start took over 100 ms on loopback.
-    private static double roundTrip(double estimateMillis, double sampleMillis) {
+    // A poll measures the network and any delay in both processes. The shortest polls are closest to the network round
+    // trip, so the estimate falls at once and rises slowly; the first polls after a start took over 100 ms on loopback.
+    private static double smoothedRoundTripMillis(double estimateMillis, double sampleMillis) {
         return sampleMillis < estimateMillis
                 ? sampleMillis
                 : estimateMillis + ROUND_TRIP_WEIGHT * (Math.min(sampleMillis, 2 * estimateMillis) - estimateMillis);
     }
 
-    private Engine carryOver(Upstream upstream) {
+    private Engine reuseOrCreate(Upstream upstream) {
         Engine current = engines.get(upstream.name());
         Engine next;
         if (current != null && current.baseUrl().equals(upstream.baseUrl())) {
@@ -211,7 +215,7 @@
                 .toList();
     }
 
-    private static boolean hasUntried(ModelFleet fleet, Set<String> tried) {
+    private static boolean hasReadyUntried(ModelFleet fleet, Set<String> tried) {
         for (int i = 0; i < fleet.size(); i++) {
             UpstreamState member = fleet.member(i);
             if (fleet.isReady(member) && !tried.contains(member.name())) {
--- a/agatelane-node/src/main/java/io/agatelane/node/io/engine/EngineTraffic.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/io/engine/EngineTraffic.java
@@ -30,24 +30,24 @@
 import java.util.concurrent.TimeoutException;
 import org.eclipse.jetty.server.Handler;
 
-/** The model traffic of a router. */
+/** Serves the model traffic of a router: accepts chat completions and routes them to engines. */
 public final class EngineTraffic implements Drainable, RoutingInspector, AutoCloseable {
     private static final EventLog LOG = EventLog.of(EngineTraffic.class);
-    private static final int TICK_MILLIS = 20;
-    private static final int REVIEW_MILLIS = 250;
-    // A starting router waits this long for the first load reports before it takes requests.
-    private static final int FIRST_REPORTS_MILLIS = 300;
+    private static final int TICK_PERIOD_MILLIS = 20;
+    private static final int PROBATION_PERIOD_MILLIS = 250;
+    // A starting router waits this long for the first load reports before it accepts requests.
+    private static final int FIRST_REPORTS_TIMEOUT_MILLIS = 300;
 
-    private final Traffic traffic;
+    private final TrafficContext traffic;
     private final ConfigView config;
     private final LoadPoller poller;
     private final CallGate gate = new CallGate();
     private final ChatHandler handler;
     private Subscription configSubscription = () -> {};
-    private Subscription reviewSubscription = () -> {};
+    private Subscription probationSubscription = () -> {};
 
     public EngineTraffic(NodeContext context, ConfigView config, DigestExchange digests, Authenticator authenticator) {
-        this.traffic = new Traffic(context, digests);
+        this.traffic = new TrafficContext(context, digests);
         this.config = config;
         this.poller = new LoadPoller(traffic);
         this.handler = new ChatHandler(traffic, config, authenticator, gate);
@@ -59,14 +59,15 @@
         traffic.table().applyConfig(config.current());
         configSubscription = config.onChange(traffic.table()::applyConfig);
         traffic.gossip().start();
-        reviewSubscription = traffic.context().timers().every("probation-review", REVIEW_MILLIS, this::review);
-        var unused =
-                traffic.timer().scheduleWithFixedDelay(this::tick, TICK_MILLIS, TICK_MILLIS, TimeUnit.MILLISECONDS);
+        probationSubscription =
+                traffic.context().timers().every("probation-review", PROBATION_PERIOD_MILLIS, this::updateProbations);
+        var unused = traffic.timer()
+                .scheduleWithFixedDelay(this::tick, TICK_PERIOD_MILLIS, TICK_PERIOD_MILLIS, TimeUnit.MILLISECONDS);
         CompletableFuture<Void> firstReports = poller.pollAll();
         poller.start(traffic.timer());
-        new EngineEvents(traffic).start();
+        new EngineCacheEvents(traffic).start();
         try {
-            firstReports.get(FIRST_REPORTS_MILLIS, TimeUnit.MILLISECONDS);
+            firstReports.get(FIRST_REPORTS_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
         } catch (TimeoutException e) {
             LOG.event("first_reports_late").warning();
         } catch (ExecutionException e) {
@@ -127,7 +128,7 @@
         return response.build();
     }
 
-    /** Requests of this router that run on engines. */
+    /** Number of requests of this router that are in flight on engines. */
     int inFlight() {
         return traffic.table().engines().values().stream()
                 .mapToInt(engine -> engine.state().inFlight())
@@ -137,12 +138,12 @@
     @Override
     public void close() {
         configSubscription.cancel();
-        reviewSubscription.cancel();
+        probationSubscription.cancel();
         traffic.close();
     }
 
-    private void review() {
-        traffic.table().reviewProbations(traffic.nowMillis());
+    private void updateProbations() {
+        traffic.table().updateProbations(traffic.nowMillis());
         traffic.firstTokenTimes().refresh();
     }
 
@@ -184,7 +185,7 @@
         return state.probation() ? "probation" : "ready";
     }
 
-    /** Lists the models as the OpenAI protocol does. */
+    /** Returns the list of models in the format of the OpenAI API. */
     static String modelsJson(ConfigSnapshot snapshot) {
         ObjectNode node = JsonNodeFactory.instance.objectNode();
         node.put("object", "list");
--- a/agatelane-node/src/main/java/io/agatelane/node/io/engine/EventId.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/io/engine/EventId.java
@@ -6,10 +6,10 @@
 import java.util.regex.Pattern;
 
 /**
- * The id of a stream event: where the stream runs and how far it is.
+ * The id of a stream event: the engine that runs the stream, the request there, and the position in the stream.
  *
- * @param requestId the identity under which the engine holds the stream
- * @param offset the engine's number of the token
+ * @param requestId the id under which the engine stores the stream
+ * @param offset the engine's offset of the token
  */
 record EventId(String upstream, String incarnation, String requestId, long offset) {
     private static final Pattern FORMAT =
@@ -18,7 +18,7 @@
     /**
      * Parses the Last-Event-ID of a caller.
      *
-     * @throws AgatelaneException with {@code MALFORMED_REQUEST} when it is not an id of this router
+     * @throws AgatelaneException with {@code MALFORMED_REQUEST} when it does not have the format of an event id
      */
     static EventId parse(String text) {
         Matcher matcher = FORMAT.matcher(text);
@@ -29,9 +29,12 @@
         return new EventId(matcher.group(1), matcher.group(2), matcher.group(3), Long.parseLong(matcher.group(4)));
     }
 
-    /** Identity of one run of a request at an engine. A continuation holds only the later part of the text. */
-    static String engineRequestId(String requestId, int run, boolean continuation) {
-        return requestId + "." + run + (continuation ? "c" : "");
+    /**
+     * Returns the id of one attempt of a request at an engine. The stream of a continuation has only the later part of
+     * the text.
+     */
+    static String engineRequestId(String requestId, int attemptNumber, boolean continuation) {
+        return requestId + "." + attemptNumber + (continuation ? "c" : "");
     }
 
     /** Returns the offset in an engine's event id; -1 when there is none. */
--- a/agatelane-node/src/main/java/io/agatelane/node/io/engine/GossipLink.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/io/engine/GossipLink.java
@@ -17,23 +17,23 @@
 import java.util.HexFormat;
 import java.util.Map;
 
-/** Exchanges hints with other routers: demand of accounts, crashes, and the state of engines. */
+/** Exchanges state with other routers by gossip: demand of accounts, crashes, and the state of engines. */
 final class GossipLink {
     private static final EventLog LOG = EventLog.of(GossipLink.class);
     private static final int USAGE_PERIOD_MILLIS = 500;
-    // Routers that were not heard of for this long do not count.
+    // Routers from which nothing was received for this long are not counted.
     private static final long ROUTER_EXPIRY_MILLIS = 5_000;
     private static final long DIGEST_PERIOD_MILLIS = 1_000;
-    // Bounds the bytes of upstream digests: about 40 bytes each, at most 2 KB/s before they are spread.
+    // Bounds the bytes of upstream digests: about 40 bytes each, at most 2 KB/s before gossip spreads them.
     private static final int DIGESTS_PER_SECOND = 50;
     // A digest is about this old when it arrives: one poll and one gossip period.
-    private static final long DIGEST_AGE_MILLIS = 500;
+    private static final long TYPICAL_DIGEST_AGE_MILLIS = 500;
 
     private final NodeContext context;
     private final DigestExchange digests;
     private final EngineTable table;
     private final Admission admission;
-    private final Map<String, Long> routersHeard = new HashMap<>();
+    private final Map<String, Long> lastReceivedMillisByVm = new HashMap<>();
     private final Map<String, Published> published = new HashMap<>();
     private volatile int routers = 1;
     private long sequence;
@@ -49,14 +49,14 @@
         this.digests = digests;
         this.table = table;
         this.admission = admission;
-        // Sequence numbers of a restarted router are above those of its earlier life.
+        // Sequence numbers of a restarted router are above those of its previous incarnation.
         this.sequence = context.incarnation() << 20;
     }
 
     void start() {
-        digests.onAccountUsage(usage -> context.control().execute(() -> heard(usage)));
-        digests.onQuarantine(quarantine -> context.control().execute(() -> heard(quarantine)));
-        digests.onUpstreamDigest(digest -> context.control().execute(() -> heard(digest)));
+        digests.onAccountUsage(usage -> context.control().execute(() -> receive(usage)));
+        digests.onQuarantine(quarantine -> context.control().execute(() -> receive(quarantine)));
+        digests.onUpstreamDigest(digest -> context.control().execute(() -> receive(digest)));
         timer = context.timers().every("account-usage", USAGE_PERIOD_MILLIS, this::publishUsages);
     }
 
@@ -64,14 +64,15 @@
         timer.cancel();
     }
 
-    /** Routers of this region that were heard of recently, with this one. */
+    /** Number of routers of this region from which gossip was received recently, including this one. */
     int routers() {
         return routers;
     }
 
-    /** Tells the other routers what this router knows about a fingerprint. Safe on every thread. */
+    /** Publishes the crashes recorded for a request fingerprint to the other routers. Thread-safe. */
     void publish(String fingerprint, Suspect suspect) {
-        // Below the quarantine each router reports only what it saw itself, so that receivers can add up.
+        // Below the quarantine threshold, each router reports only the crashes that it detected itself, so that
+        // receivers can add them up.
         int crashes = suspect.crashes() >= SuspectTable.QUARANTINE_CRASHES ? suspect.crashes() : suspect.localCrashes();
         Quarantine message = Quarantine.newBuilder()
                 .setFingerprint(ByteString.copyFrom(HexFormat.of().parseHex(fingerprint)))
@@ -81,19 +82,23 @@
         context.control().execute(() -> digests.publish(message));
     }
 
-    /** Tells the routers of this zone about an engine that just reported. Runs on the control thread. */
+    /**
+     * Publishes the state of an engine that just reported its load to the routers of this zone. Runs on the control
+     * thread.
+     */
     void publishReport(Engine engine) {
         UpstreamState state = engine.state();
         LoadReport report = state.report();
         long nowMillis = context.timers().monotonicMillis();
-        // Only what this router saw itself is passed on; otherwise two routers could keep a stale mark alive.
+        // Marks received from peers are not passed on, only the report and the configuration; otherwise two routers
+        // could keep a stale mark alive.
         boolean draining = report.draining() || engine.upstream().draining();
         Published last = published.get(engine.name());
         boolean changed = last == null || last.draining() != draining || last.probation() != state.probation();
         if (!changed && nowMillis - last.millis() < DIGEST_PERIOD_MILLIS) {
             return;
         }
-        if (!takeDigest(nowMillis) && !changed) {
+        if (!tryAcquireDigest(nowMillis) && !changed) {
             return;
         }
         published.put(engine.name(), new Published(nowMillis, draining, state.probation()));
@@ -108,7 +113,7 @@
                 .build());
     }
 
-    private boolean takeDigest(long nowMillis) {
+    private boolean tryAcquireDigest(long nowMillis) {
         if (nowMillis - windowStartMillis >= 1_000) {
             windowStartMillis = nowMillis;
             digestsInWindow = 0;
@@ -118,8 +123,8 @@
 
     private void publishUsages() {
         long nowMillis = context.timers().monotonicMillis();
-        routersHeard.values().removeIf(heardMillis -> nowMillis - heardMillis > ROUTER_EXPIRY_MILLIS);
-        routers = routersHeard.size() + 1;
+        lastReceivedMillisByVm.values().removeIf(receivedMillis -> nowMillis - receivedMillis > ROUTER_EXPIRY_MILLIS);
+        routers = lastReceivedMillisByVm.size() + 1;
         for (AccountLimiter.Demand demand : admission.limiter().demands(nowMillis)) {
             digests.publish(AccountUsage.newBuilder()
                     .setClientAccount(demand.account())
@@ -130,13 +135,13 @@
         }
     }
 
-    private void heard(AccountUsage usage) {
+    private void receive(AccountUsage usage) {
         if (usage.getVm().equals(context.settings().vmName())) {
             return;
         }
         long nowMillis = context.timers().monotonicMillis();
-        routersHeard.put(usage.getVm(), nowMillis);
-        routers = routersHeard.size() + 1;
+        lastReceivedMillisByVm.put(usage.getVm(), nowMillis);
+        routers = lastReceivedMillisByVm.size() + 1;
         admission
                 .limiter()
                 .hear(
@@ -147,21 +152,21 @@
                         nowMillis);
     }
 
-    private void heard(Quarantine quarantine) {
+    private void receive(Quarantine quarantine) {
         String fingerprint =
                 HexFormat.of().formatHex(quarantine.getFingerprint().toByteArray());
         long nowMillis = context.timers().monotonicMillis();
-        boolean tellOthers = admission
+        boolean mustForward = admission
                 .crashes()
                 .heard(fingerprint, quarantine.getCrashes(), quarantine.getRemainingMillis(), nowMillis);
-        if (tellOthers) {
+        if (mustForward) {
             publish(
                     fingerprint,
                     new Suspect(SuspectTable.QUARANTINE_CRASHES, 0, nowMillis + quarantine.getRemainingMillis()));
         }
     }
 
-    private void heard(UpstreamDigest digest) {
+    private void receive(UpstreamDigest digest) {
         Engine engine = table.engine(digest.getUpstream()).orElse(null);
         LoadReport report = engine == null ? null : engine.state().report();
         if (report == null || !report.incarnation().equals(digest.getIncarnation())) {
@@ -169,9 +174,9 @@
         }
         long nowMillis = context.timers().monotonicMillis();
         if (digest.getDraining()) {
-            boolean first = !engine.state().leavingByPeer();
+            boolean firstMark = !engine.state().leavingByPeer();
             engine.state().setLeavingByPeer(true, nowMillis);
-            if (first) {
+            if (firstMark) {
                 LOG.event("engine_leaving")
                         .with("upstream", engine.name())
                         .with("source", "peer")
@@ -179,7 +184,7 @@
                 table.rebuildFleets();
             }
         }
-        long digestMeasuredMillis = nowMillis - DIGEST_AGE_MILLIS;
+        long digestMeasuredMillis = nowMillis - TYPICAL_DIGEST_AGE_MILLIS;
         if (digestMeasuredMillis > report.measuredAtMillis()) {
             engine.state().setReport(report.withCounts(digest.getRunning(), digest.getWaiting(), digestMeasuredMillis));
         }
--- a/agatelane-node/src/main/java/io/agatelane/node/io/engine/AnswerSink.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/io/engine/JsonResponseSink.java
@@ -12,18 +12,18 @@
 import org.eclipse.jetty.server.Response;
 import org.eclipse.jetty.util.Callback;
 
-/** Collects the chunks of a stream and writes one chat completion. */
-final class AnswerSink implements CallerSink {
+/** Collects the chunks of a stream and writes them as one JSON chat completion. */
+final class JsonResponseSink implements CallerSink {
     private final Response response;
     private final Callback callback;
     private final String requestId;
     private final StringBuilder content = new StringBuilder();
-    private final ObjectNode answer = JsonNodeFactory.instance.objectNode();
+    private final ObjectNode completion = JsonNodeFactory.instance.objectNode();
     private final TreeMap<Integer, ObjectNode> toolCalls = new TreeMap<>();
     private JsonNode finishReason;
     private boolean ended;
 
-    AnswerSink(Response response, Callback callback, String requestId) {
+    JsonResponseSink(Response response, Callback callback, String requestId) {
         this.response = response;
         this.callback = callback;
         this.requestId = requestId;
@@ -31,11 +31,11 @@
 
     @Override
     public synchronized void chunk(String eventId, ObjectNode chunk) {
-        if (answer.isEmpty()) {
-            answer.set("id", chunk.path("id"));
-            answer.put("object", "chat.completion");
-            answer.set("created", chunk.path("created"));
-            answer.set("model", chunk.path("model"));
+        if (completion.isEmpty()) {
+            completion.set("id", chunk.path("id"));
+            completion.put("object", "chat.completion");
+            completion.set("created", chunk.path("created"));
+            completion.set("model", chunk.path("model"));
         }
         JsonNode choice = chunk.path("choices").path(0);
         content.append(choice.path("delta").path("content").asText(""));
@@ -44,7 +44,7 @@
             finishReason = choice.get("finish_reason");
         }
         if (chunk.hasNonNull("usage")) {
-            answer.set("usage", chunk.get("usage"));
+            completion.set("usage", chunk.get("usage"));
         }
     }
 
@@ -56,7 +56,7 @@
                 return;
             }
             ended = true;
-            ObjectNode choice = answer.putArray("choices").addObject();
+            ObjectNode choice = completion.putArray("choices").addObject();
             choice.put("index", 0);
             ObjectNode message = choice.putObject("message").put("role", "assistant");
             message.put("content", content.toString());
@@ -64,7 +64,7 @@
                 message.putArray("tool_calls").addAll(toolCalls.values());
             }
             choice.set("finish_reason", finishReason);
-            body = answer.toString().getBytes(StandardCharsets.UTF_8);
+            body = completion.toString().getBytes(StandardCharsets.UTF_8);
         }
         response.setStatus(200);
         response.getHeaders().put(HttpHeader.CONTENT_TYPE, "application/json");
@@ -85,7 +85,7 @@
 
     @Override
     public void keepAlive() {
-        // Nothing can be sent before the whole answer.
+        // Nothing can be written before the response is complete.
     }
 
     @Override
@@ -98,7 +98,7 @@
         action.run();
     }
 
-    // The parts of a call share an index; its name comes whole and its arguments in pieces.
+    // The chunks of a tool call share an index; the name arrives whole, the arguments in pieces.
     private void mergeToolCall(JsonNode part) {
         ObjectNode call = toolCalls.computeIfAbsent(
                 part.path("index").asInt(),
--- a/agatelane-node/src/main/java/io/agatelane/node/io/engine/LoadPoller.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/io/engine/LoadPoller.java
@@ -16,17 +16,17 @@
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
 
-/** Asks engines for their load. Runs beside the control thread, which only takes over the results. */
+/** Polls the load reports of engines. Runs outside the control thread, which only applies the results. */
 final class LoadPoller {
     private static final EventLog LOG = EventLog.of(LoadPoller.class);
     private static final int PERIOD_MILLIS = 250;
     private static final int TIMEOUT_MILLIS = 1_000;
     // Bounds the polls of one router: up to 100 engines are polled in each period, larger fleets in turns.
     private static final int POLLS_PER_PERIOD = 100;
-    // One lost poll is common on lossy links; two in a row take the engine out of the choice.
-    private static final int FAILED_POLLS_LIMIT = 2;
+    // One lost poll is common on lossy links; two in a row make the router treat the engine as unreachable.
+    private static final int MAX_FAILED_POLLS = 2;
     // An engine that loads other weights refuses requests until they are loaded.
-    private static final Set<String> ROLES_WITHOUT_WORK = Set.of("draining", "loading");
+    private static final Set<String> NOT_ACCEPTING_ROLES = Set.of("draining", "loading");
     private static final int OK = 200;
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
@@ -34,29 +34,30 @@
     private final EngineTable table;
     private final EngineClient client;
     private final GossipLink gossip;
-    private int nextPosition;
+    private int nextIndex;
 
-    LoadPoller(Traffic traffic) {
+    LoadPoller(TrafficContext traffic) {
         this.context = traffic.context();
         this.table = traffic.table();
         this.client = traffic.client();
         this.gossip = traffic.gossip();
-        // Routers begin at different engines, so that together they cover a large fleet sooner; gossip does the rest.
-        this.nextPosition = (int) (Rendezvous.hash(context.settings().vmName()) & Short.MAX_VALUE);
+        // Routers start at different engines, so that together they cover a large fleet sooner; gossip shares the
+        // results.
+        this.nextIndex = (int) (Rendezvous.hash(context.settings().vmName()) & Short.MAX_VALUE);
     }
 
     void start(ScheduledExecutorService executor) {
         var unused = executor.scheduleWithFixedDelay(
-                this::pollNextGuarded, PERIOD_MILLIS, PERIOD_MILLIS, TimeUnit.MILLISECONDS);
+                this::pollNextSafely, PERIOD_MILLIS, PERIOD_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    /** Polls every engine once; completes when all have answered or failed. */
+    /** Polls every engine once; completes when all have responded or failed. */
     CompletableFuture<Void> pollAll() {
         return CompletableFuture.allOf(
                 table.engines().values().stream().map(this::poll).toArray(CompletableFuture[]::new));
     }
 
-    /** Reads the incarnation in a load report; empty when the text is no report. */
+    /** Reads the incarnation in a load report; empty when the text is not a report. */
     static String incarnation(String body) {
         try {
             return MAPPER.readTree(body).path("incarnation").asText("");
@@ -65,7 +66,7 @@
         }
     }
 
-    private void pollNextGuarded() {
+    private void pollNextSafely() {
         try {
             pollNext();
         } catch (RuntimeException e) {
@@ -77,13 +78,13 @@
         List<Engine> engines = new ArrayList<>(table.engines().values());
         int count = Math.min(POLLS_PER_PERIOD, engines.size());
         for (int i = 0; i < count; i++) {
-            nextPosition = (nextPosition + 1) % engines.size();
-            var unused = poll(engines.get(nextPosition));
+            nextIndex = (nextIndex + 1) % engines.size();
+            var unused = poll(engines.get(nextIndex));
         }
     }
 
     private CompletableFuture<Void> poll(Engine engine) {
-        if (!engine.beginPoll()) {
+        if (!engine.tryBeginPoll()) {
             return CompletableFuture.completedFuture(null);
         }
         long startNanos = System.nanoTime();
@@ -95,7 +96,7 @@
                     if (failure == null) {
                         context.control().execute(() -> apply(engine, report, roundTripMillis));
                     } else {
-                        failed(engine, failure);
+                        recordFailure(engine, failure);
                     }
                     return null;
                 });
@@ -106,10 +107,10 @@
         gossip.publishReport(engine);
     }
 
-    private void failed(Engine engine, Throwable failure) {
+    private void recordFailure(Engine engine, Throwable failure) {
         int count = engine.failedPolls() + 1;
         engine.setFailedPolls(count);
-        if (count >= FAILED_POLLS_LIMIT) {
+        if (count >= MAX_FAILED_POLLS) {
             table.markUnreachable(engine, AgatelaneException.from(failure).getMessage());
         }
     }
@@ -126,7 +127,7 @@
                     node.path("incarnation").asText(),
                     node.path("model").asText(),
                     node.path("weights_version").asText(),
-                    ROLES_WITHOUT_WORK.contains(node.path("role").asText("")),
+                    NOT_ACCEPTING_ROLES.contains(node.path("role").asText("")),
                     node.path("slots").asInt(engine.upstream().slots()),
                     node.path("running").asInt(),
                     node.path("waiting").asInt(),
--- a/agatelane-node/src/main/java/io/agatelane/node/io/engine/RequestFingerprint.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/io/engine/RequestFingerprint.java
@@ -11,9 +11,9 @@
 /**
  * SHA-256 digest of a client account and a request body.
  *
- * <p>Request identities contain a digest of the fingerprint. A caller can therefore resume only a stream of its own
- * account and of the same body, although routers share no secret: the identity of another account's stream does not
- * match any body that the caller can send.
+ * <p>Request ids contain a digest of the fingerprint. A caller can therefore resume only a stream of its own account
+ * and of the same body, although routers share no secret: the id of another account's stream does not match any body
+ * that the caller can send.
  */
 record RequestFingerprint(String hex) {
     private static final int HEX_RADIX = 16;
@@ -28,7 +28,7 @@
         return new RequestFingerprint(HexFormat.of().formatHex(digest.digest()));
     }
 
-    /** Returns the identity of a request with this fingerprint. */
+    /** Returns an id for a request with this fingerprint, unique by the nonce. */
     String requestId(long nonce) {
         String nonceHex = HexFormat.of().toHexDigits(nonce);
         return nonceHex + "-" + tag(nonceHex);
@@ -39,7 +39,7 @@
         return Long.parseUnsignedLong(hex.substring(0, Long.BYTES * 2), HEX_RADIX);
     }
 
-    /** Whether an identity, with or without an attempt suffix, was made for this account and body. */
+    /** Whether a request id, with or without an attempt suffix, was made for this account and body. */
     boolean matches(String requestId) {
         int dash = requestId.indexOf('-');
         int end = dash + 1 + TAG_CHARACTERS;
--- a/agatelane-node/src/main/java/io/agatelane/node/io/engine/RouteLog.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/io/engine/RouteLog.java
@@ -4,17 +4,17 @@
 import io.agatelane.node.util.EventLog;
 import java.util.Locale;
 
-/** Writes the line of a routing decision. */
+/** Writes the log event of a routing decision. */
 final class RouteLog {
     private static final EventLog LOG = EventLog.of(RouteLog.class);
 
     private RouteLog() {}
 
     /** Writes the chosen engine with the terms of its score, and the totals of the other candidates. */
-    static void write(String requestId, ChatRequest request, Decision decision, int run) {
+    static void write(String requestId, ChatRequest request, Decision decision, int attemptNumber) {
         EventLog.Event event = LOG.event("route")
                 .with("request", requestId)
-                .with("run", run)
+                .with("run", attemptNumber)
                 .with("account", request.account().name())
                 .with("model", request.model().name())
                 .with("prompt_tokens", request.prompt().tokenCount());
--- a/agatelane-node/src/main/java/io/agatelane/node/io/engine/SseParser.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/io/engine/SseParser.java
@@ -63,7 +63,7 @@
             case "id" -> id = value;
             case "event" -> type = value;
             default -> {
-                // The format tells readers to ignore unknown fields.
+                // The event stream format requires readers to ignore unknown fields.
             }
         }
     }
--- a/agatelane-node/src/main/java/io/agatelane/node/io/engine/StreamPosition.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/io/engine/StreamPosition.java
@@ -1,18 +1,18 @@
 package io.agatelane.node.io.engine;
 
-/** How far a response has come: the next token's offset and the text so far. */
+/** Position in a response: the offset of the next token and the text so far. */
 final class StreamPosition {
     private final StringBuilder text = new StringBuilder();
     private long nextOffset;
     private long firstForwarded;
     private boolean textKnown = true;
-    private boolean moved;
+    private boolean tokenReceived;
 
-    /** What to do with a token. */
-    enum Verdict {
+    /** Result of comparing a token's offset with the position. */
+    enum OffsetCheck {
         FORWARD,
-        /** The token is new here, but the caller has it already. */
-        KEEP,
+        /** The token is new to this router, but the caller already has it. */
+        RECORD_ONLY,
         REPEAT,
         GAP
     }
@@ -33,19 +33,19 @@
         textKnown = false;
     }
 
-    Verdict check(long offset) {
+    OffsetCheck check(long offset) {
         if (offset < nextOffset) {
-            return Verdict.REPEAT;
+            return OffsetCheck.REPEAT;
         }
         if (offset > nextOffset) {
-            return Verdict.GAP;
+            return OffsetCheck.GAP;
         }
-        return offset < firstForwarded ? Verdict.KEEP : Verdict.FORWARD;
+        return offset < firstForwarded ? OffsetCheck.RECORD_ONLY : OffsetCheck.FORWARD;
     }
 
     void accept(String content) {
         nextOffset++;
-        moved = true;
+        tokenReceived = true;
         text.append(content);
     }
 
@@ -62,12 +62,12 @@
         return textKnown;
     }
 
-    void forgetText() {
+    void markTextUnknown() {
         textKnown = false;
     }
 
     /** Whether no token has arrived. */
     boolean isAtStart() {
-        return !moved;
+        return !tokenReceived;
     }
 }
--- a/agatelane-node/src/main/java/io/agatelane/node/io/engine/StreamSink.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/io/engine/StreamSink.java
@@ -10,27 +10,27 @@
 import org.eclipse.jetty.server.Response;
 import org.eclipse.jetty.util.Callback;
 
-/** Writes server-sent events. Chunks that arrive while a write is running go out together with the next one. */
+/** Writes server-sent events. Chunks that arrive while a write is running are sent together in the next one. */
 final class StreamSink implements CallerSink {
-    // A caller that reads slowly holds back the engine once this much is waiting for it.
+    // Backpressure for slow callers: reading from the engine pauses once this much data is waiting to be written.
     private static final int HIGH_WATER_BYTES = 64 * 1024;
 
     private final Response response;
     private final Callback callback;
     private final String requestId;
-    private final Runnable onCallerGone;
+    private final Runnable onCallerDisconnected;
     private ByteArrayOutputStream pending = new ByteArrayOutputStream(512);
     private boolean committed;
     private boolean writing;
     private boolean ended;
     private boolean finished;
-    private Runnable waiting;
+    private Runnable whenWritableAction;
 
-    StreamSink(Response response, Callback callback, String requestId, Runnable onCallerGone) {
+    StreamSink(Response response, Callback callback, String requestId, Runnable onCallerDisconnected) {
         this.response = response;
         this.callback = callback;
         this.requestId = requestId;
-        this.onCallerGone = onCallerGone;
+        this.onCallerDisconnected = onCallerDisconnected;
     }
 
     @Override
@@ -73,7 +73,7 @@
     public void whenWritable(Runnable action) {
         synchronized (this) {
             if (pending.size() > HIGH_WATER_BYTES && !finished) {
-                waiting = action;
+                whenWritableAction = action;
                 return;
             }
         }
@@ -105,7 +105,7 @@
     private void flush() {
         ByteBuffer buffer;
         boolean last;
-        Runnable resumed;
+        Runnable actionToRun;
         synchronized (this) {
             if (writing || finished || (pending.size() == 0 && !ended)) {
                 return;
@@ -115,12 +115,12 @@
             pending = new ByteArrayOutputStream(512);
             last = ended;
             finished = last;
-            resumed = waiting;
-            waiting = null;
+            actionToRun = whenWritableAction;
+            whenWritableAction = null;
         }
         response.write(last, buffer, Callback.from(() -> written(last), this::writeFailed));
-        if (resumed != null) {
-            resumed.run();
+        if (actionToRun != null) {
+            actionToRun.run();
         }
     }
 
@@ -136,17 +136,17 @@
     }
 
     private void writeFailed(Throwable failure) {
-        Runnable resumed;
+        Runnable actionToRun;
         synchronized (this) {
             ended = true;
             finished = true;
-            resumed = waiting;
-            waiting = null;
+            actionToRun = whenWritableAction;
+            whenWritableAction = null;
         }
         callback.failed(failure);
-        onCallerGone.run();
-        if (resumed != null) {
-            resumed.run();
+        onCallerDisconnected.run();
+        if (actionToRun != null) {
+            actionToRun.run();
         }
     }
 }
--- a/agatelane-node/src/main/java/io/agatelane/node/io/engine/Traffic.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/io/engine/TrafficContext.java
@@ -18,25 +18,25 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** What the calls of one router share. */
-final class Traffic {
-    private static final EventLog LOG = EventLog.of(Traffic.class);
+/** State and services that the chat calls of one router share. */
+final class TrafficContext {
+    private static final EventLog LOG = EventLog.of(TrafficContext.class);
     // 2^17 hints of 16 bytes: 2 MB, enough for several seconds of distinct prefixes on one router.
-    private static final int HINT_BITS = 17;
+    private static final int HINT_TABLE_BITS = 17;
     private static final long CLOSE_GRACE_MILLIS = 1_000;
-    private static final int RATE_BITS = 15;
-    // A hedge before this time would only answer the normal variation of a healthy engine.
-    private static final double SHORTEST_HEDGE_MILLIS = 50;
+    private static final int RATE_TABLE_BITS = 15;
+    // An earlier hedge would only react to the normal latency variation of a healthy engine.
+    private static final double MIN_HEDGE_DELAY_MILLIS = 50;
     private static final double HEDGE_EXPECTED_FACTOR = 1.5;
     private static final double HEDGE_FALLBACK_FACTOR = 4;
 
     private final NodeContext context;
     private final EngineTable table;
     private final EngineClient client = new EngineClient();
-    private final HintTable hints = new HintTable(HINT_BITS);
+    private final HintTable hints = new HintTable(HINT_TABLE_BITS);
     private final TrafficMetrics metrics;
-    private final PrefixRates rates = new PrefixRates(RATE_BITS);
-    private final ThreadLocal<Chooser> choosers = ThreadLocal.withInitial(() -> new Chooser(hints, rates));
+    private final PrefixRates prefixRates = new PrefixRates(RATE_TABLE_BITS);
+    private final ThreadLocal<Chooser> choosers = ThreadLocal.withInitial(() -> new Chooser(hints, prefixRates));
     private final Admission admission = new Admission();
     private final Dispatcher dispatcher = new Dispatcher(this);
     private final FirstTokenTimes firstTokenTimes = new FirstTokenTimes();
@@ -46,14 +46,14 @@
     private final long nonceKey;
     private final AtomicLong nonceCounter = new AtomicLong();
 
-    Traffic(NodeContext context, DigestExchange digests) {
+    TrafficContext(NodeContext context, DigestExchange digests) {
         this.context = context;
         this.table = new EngineTable(context);
         this.gossip = new GossipLink(context, digests, table, admission);
         this.metrics = new TrafficMetrics(context.metrics());
         Settings settings = context.settings();
         long seed = settings.randomSeed() == 0 ? Rendezvous.hash(settings.vmName()) : settings.randomSeed();
-        // The start time keeps the identities of a restarted router apart from its earlier ones.
+        // The start time keeps the request ids of a restarted router distinct from its earlier ones.
         this.nonceKey =
                 Rendezvous.weight(Rendezvous.weight(seed, Rendezvous.hash(settings.vmName())), context.incarnation());
         this.timer = new ScheduledThreadPoolExecutor(1, task -> {
@@ -84,8 +84,8 @@
         return metrics;
     }
 
-    PrefixRates rates() {
-        return rates;
+    PrefixRates prefixRates() {
+        return prefixRates;
     }
 
     Admission admission() {
@@ -104,18 +104,18 @@
         return firstTokenTimes;
     }
 
-    /** Routers that share the engines, as far as gossip tells; at least 1. */
+    /** Number of routers that share the engines, as known from gossip; at least 1. */
     int routers() {
         return gossip.routers();
     }
 
-    /** The properties of a request that decide where it goes. */
+    /** Returns the properties of a request on which routing depends. */
     RequestProfile profile(ChatRequest request) {
         return new RequestProfile(
                 request.model().name(), request.prompt(), admission.expectedOutput(request), nextNonce());
     }
 
-    /** Whether a running call reads this request of an engine. */
+    /** Whether a running call reads the stream of this engine request. */
     boolean usesEngineRequest(String engineRequestId) {
         return calls().stream().anyMatch(call -> call.usesEngineRequest(engineRequestId));
     }
@@ -123,39 +123,40 @@
     /** Counts a request for each of its prefixes. */
     void recordPrefixes(RequestProfile profile, long nowMillis) {
         for (int level = 0; level < profile.levelCount(); level++) {
-            rates().record(profile.digest(level), nowMillis);
+            prefixRates().record(profile.digest(level), nowMillis);
         }
     }
 
-    /** Remembers that an engine has computed the prefixes of a request. */
+    /** Records hints that an engine has cached the prefixes of a request. */
     void recordCached(RequestProfile profile, long nodeHash, long engineKey, long nowMillis) {
         for (int level = 0; level < profile.levelCount(); level++) {
             hints().put(nodeHash, engineKey, profile.digest(level), nowMillis);
         }
     }
 
-    /** Waiting time after which a short request is hedged. */
-    double hedgeAfterMillis(ChatRequest request, Choice choice) {
+    /** Returns the time without a first token after which a short request is hedged. */
+    double hedgeAfterMillis(ChatRequest request, EngineChoice choice) {
         double expectedMillis = choice.expectedMillis();
-        double usualMillis = firstTokenTimes.p95Millis(request.model().name(), HEDGE_FALLBACK_FACTOR * expectedMillis);
-        return Math.max(SHORTEST_HEDGE_MILLIS, Math.max(usualMillis, HEDGE_EXPECTED_FACTOR * expectedMillis));
+        double typicalMillis =
+                firstTokenTimes.p95Millis(request.model().name(), HEDGE_FALLBACK_FACTOR * expectedMillis);
+        return Math.max(MIN_HEDGE_DELAY_MILLIS, Math.max(typicalMillis, HEDGE_EXPECTED_FACTOR * expectedMillis));
     }
 
-    void recordFirstToken(ChatRequest request, Choice choice, long millis) {
+    void recordFirstToken(ChatRequest request, EngineChoice choice, long millis) {
         metrics.firstToken.update(millis, TimeUnit.MILLISECONDS);
         if (!choice.longRequest()) {
             firstTokenTimes.record(request.model().name(), millis);
         }
     }
 
-    /** Whether another call with the same fingerprint runs and the fingerprint was seen at a crash. */
-    boolean isRunningElsewhere(ChatCall call) {
+    /** Whether the request is suspected of crashing engines and another call with the same fingerprint is running. */
+    boolean isSuspectRunningInOtherCall(ChatCall call) {
         RequestFingerprint fingerprint = call.fingerprint();
         return admission.isSuspect(fingerprint, nowMillis())
                 && calls.stream().anyMatch(other -> other != call && other.hasFingerprint(fingerprint));
     }
 
-    /** Records that a request was running when its engine crashed, and tells the other routers. */
+    /** Records that a request was running when its engine crashed, and publishes it to the other routers. */
     void recordCrash(ChatCall call, ChatRequest request, Engine engine) {
         metrics.crashes.inc();
         RequestFingerprint fingerprint = request.fingerprint();
@@ -167,27 +168,30 @@
                 .warning();
         gossip.publish(fingerprint.hex(), suspect);
         if (suspect.crashes() >= SuspectTable.QUARANTINE_CRASHES) {
-            later(0, () -> calls.stream()
+            schedule(0, () -> calls.stream()
                     .filter(other -> other != call && other.hasFingerprint(fingerprint))
                     .forEach(ChatCall::quarantine));
         }
     }
 
     /**
-     * Records the crash of an engine that ran a stream which another router started. That router may have seen the same
-     * crash and report it, so that it counts as reported and not as a second one.
+     * Records the crash of an engine that ran a stream which another router started. That router may have detected the
+     * same crash and report it, so it is counted as a reported crash and not as a second one.
      */
-    void recordCrashOfResumed(ChatRequest request) {
+    void recordCrashOfResumedStream(ChatRequest request) {
         metrics.crashes.inc();
         var unused =
                 admission.crashes().heard(request.fingerprint().hex(), 1, SuspectTable.QUARANTINE_MILLIS, nowMillis());
     }
 
-    /** Lets a complete stream end in order, and closes its connection if the engine does not end it. */
-    void closeSoon(EngineStream stream) {
+    /**
+     * Lets a complete stream end normally, and closes its connection if the engine does not end it within a grace
+     * period.
+     */
+    void closeAfterGrace(EngineStream stream) {
         stream.detach();
         if (!stream.isComplete()) {
-            later(CLOSE_GRACE_MILLIS, () -> {
+            schedule(CLOSE_GRACE_MILLIS, () -> {
                 if (!stream.isComplete()) {
                     stream.abort();
                 }
@@ -196,7 +200,7 @@
     }
 
     /** Runs a task on the timer thread. */
-    void later(long delayMillis, Runnable task) {
+    void schedule(long delayMillis, Runnable task) {
         if (!timer.isShutdown()) {
             var unused = timer.schedule(task, delayMillis, TimeUnit.MILLISECONDS);
         }
@@ -216,7 +220,7 @@
         return timer;
     }
 
-    /** A number that no other request of this router's VM gets. */
+    /** Returns a number that no other request of this router's VM gets. */
     long nextNonce() {
         return Rendezvous.weight(nonceKey, nonceCounter.incrementAndGet());
     }
--- a/agatelane-node/src/main/java/io/agatelane/node/io/engine/TrafficMetrics.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/io/engine/TrafficMetrics.java
@@ -5,7 +5,7 @@
 import com.codahale.metrics.MetricRegistry;
 import com.codahale.metrics.Timer;
 
-/** Counters of the model traffic. */
+/** Metrics of the model traffic. */
 final class TrafficMetrics {
     final Counter requests;
     final Counter refused;
@@ -18,11 +18,11 @@
     final Counter hedgesWon;
     final Counter hedgesWithoutBudget;
     final Counter crashes;
-    final Counter streamProbes;
+    final Counter reconnectProbes;
     final Counter mismatchedResponses;
     final Counter repeatedTokens;
     final Counter tokenGaps;
-    final Counter callersGone;
+    final Counter callersDisconnected;
     final Counter promptTokens;
     final Counter cachedTokens;
     final Counter active;
@@ -41,11 +41,11 @@
         hedgesWon = registry.counter("engine_hedges_won_total");
         hedgesWithoutBudget = registry.counter("engine_hedges_without_budget_total");
         crashes = registry.counter("engine_crashes_seen_total");
-        streamProbes = registry.counter("stream_probes_total");
+        reconnectProbes = registry.counter("stream_probes_total");
         mismatchedResponses = registry.counter("engine_mismatched_responses_total");
         repeatedTokens = registry.counter("stream_repeated_tokens_total");
         tokenGaps = registry.counter("stream_token_gaps_total");
-        callersGone = registry.counter("chat_callers_gone_total");
+        callersDisconnected = registry.counter("chat_callers_gone_total");
         promptTokens = registry.counter("prompt_tokens_total");
         cachedTokens = registry.counter("prompt_cached_tokens_total");
         active = registry.counter("chat_active");
--- a/agatelane-node/src/test/java/io/agatelane/node/io/engine/Router.java
+++ b/agatelane-node/src/test/java/io/agatelane/node/io/engine/EngineTestRouter.java
@@ -23,11 +23,11 @@
 import java.util.function.BooleanSupplier;
 
 /** A router's model traffic with an HTTP server on a free port, and a caller. */
-final class Router implements AutoCloseable {
+final class EngineTestRouter implements AutoCloseable {
     static final String KEY = "key-a";
     private static final ObjectMapper MAPPER = new ObjectMapper();
-    private static final int CONDITION_STEPS = 3_000;
-    private static final int STEP_MILLIS = 10;
+    private static final int MAX_CONDITION_CHECKS = 3_000;
+    private static final int CHECK_PERIOD_MILLIS = 10;
 
     final EngineTraffic traffic;
     final MetricRegistry metrics = new MetricRegistry();
@@ -36,7 +36,7 @@
     private final HttpClient client =
             HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
 
-    Router(String name, FakeConfigView config, FakeDigests digests) {
+    EngineTestRouter(String name, FakeConfigView config, FakeDigestExchange digests) {
         control = new ControlThread(name);
         NodeContext context = new NodeContext(FakeNode.settings(name), 1, control, control, metrics);
         traffic = new EngineTraffic(context, config, digests.attach(), new Authenticator(config));
@@ -82,7 +82,7 @@
         return client.send(request, HttpResponse.BodyHandlers.ofString());
     }
 
-    HttpResponse<InputStream> open(String body) throws Exception {
+    HttpResponse<InputStream> openStream(String body) throws Exception {
         HttpRequest request = request("/v1/chat/completions")
                 .POST(HttpRequest.BodyPublishers.ofString(body))
                 .build();
@@ -144,13 +144,13 @@
     }
 
     static void await(String what, BooleanSupplier condition) throws InterruptedException {
-        for (int i = 0; i < CONDITION_STEPS; i++) {
+        for (int i = 0; i < MAX_CONDITION_CHECKS; i++) {
             if (condition.getAsBoolean()) {
                 return;
             }
-            Thread.sleep(STEP_MILLIS);
+            Thread.sleep(CHECK_PERIOD_MILLIS);
         }
-        throw new AssertionError("never became true: " + what);
+        throw new AssertionError("condition not met in time: " + what);
     }
 
     void awaitReady(int engines) throws InterruptedException {
--- a/agatelane-node/src/test/java/io/agatelane/node/io/engine/EngineTrafficTest.java
+++ b/agatelane-node/src/test/java/io/agatelane/node/io/engine/EngineTrafficTest.java
@@ -23,7 +23,7 @@
     private final FakeConfigView config = new FakeConfigView();
     private FakeEngine one;
     private FakeEngine two;
-    private Router router;
+    private EngineTestRouter router;
 
     @BeforeMethod
     public void start() throws Exception {
@@ -31,13 +31,13 @@
         two = new FakeEngine("e2");
         config.set(ConfigSnapshot.builder()
                 .revision(1)
-                .add(new ClientAccount("a", List.of(Authenticator.sha256Hex(Router.KEY)), 0, 0, 1, ""))
+                .add(new ClientAccount("a", List.of(Authenticator.sha256Hex(EngineTestRouter.KEY)), 0, 0, 1, ""))
                 .add(new ClientAccount("b", List.of(Authenticator.sha256Hex("key-b")), 0, 0, 1, ""))
                 .add(new Model("m", "v1", 100_000, 100, ""))
                 .add(one.upstream("m"))
                 .add(two.upstream("m"))
                 .build());
-        router = new Router("r1", config, new FakeDigests());
+        router = new EngineTestRouter("r1", config, new FakeDigestExchange());
         router.awaitReady(2);
     }
 
@@ -51,25 +51,25 @@
     // Guards against callers that get an incomplete stream, or one without an end (I2).
     @Test
     public void streamsEveryTokenInOrder() throws Exception {
-        List<Router.Event> events =
-                Router.events(router.post(Router.body(true, "hello")).body());
-        assertEquals(Router.content(events), FakeEngine.text(0, 6));
+        List<EngineTestRouter.Event> events = EngineTestRouter.events(
+                router.post(EngineTestRouter.body(true, "hello")).body());
+        assertEquals(EngineTestRouter.content(events), FakeEngine.text(0, 6));
         assertEquals(events.get(events.size() - 1).data(), "[DONE]");
         assertTrue(
                 events.get(0).id().matches("e[12]~1~[0-9a-f-]+\\.1~0"),
                 events.get(0).id());
-        Router.await("slots given back", () -> router.inFlight() == 0);
+        EngineTestRouter.await("slots released", () -> router.inFlight() == 0);
     }
 
     // Guards against non-streaming callers that get a stream or a part of the text.
     @Test
-    public void answersWithOneDocument() throws Exception {
-        HttpResponse<String> response = router.post(Router.body(false, "hello"));
+    public void returnsOneDocumentWithoutStreaming() throws Exception {
+        HttpResponse<String> response = router.post(EngineTestRouter.body(false, "hello"));
         assertEquals(response.statusCode(), 200);
-        Router.Event document = new Router.Event("", "", response.body());
+        EngineTestRouter.Event document = new EngineTestRouter.Event("", "", response.body());
         assertEquals(document.json().at("/choices/0/message/content").asText(), FakeEngine.text(0, 6));
         assertEquals(document.json().at("/usage/completion_tokens").asInt(), 6);
-        Router.await("slots given back", () -> router.inFlight() == 0);
+        EngineTestRouter.await("slots released", () -> router.inFlight() == 0);
     }
 
     // Guards against tool calls that reach a caller without a stream in pieces or not at all.
@@ -77,8 +77,8 @@
     public void mergesToolCalls() throws Exception {
         one.toolCalls = true;
         two.toolCalls = true;
-        HttpResponse<String> response = router.post(Router.body(false, "hello"));
-        var call = new Router.Event("", "", response.body()).json().at("/choices/0/message/tool_calls/0");
+        HttpResponse<String> response = router.post(EngineTestRouter.body(false, "hello"));
+        var call = new EngineTestRouter.Event("", "", response.body()).json().at("/choices/0/message/tool_calls/0");
         assertEquals(call.at("/function/name").asText(), "look_up");
         assertEquals(call.at("/function/arguments").asText(), FakeEngine.text(0, 6));
     }
@@ -105,11 +105,11 @@
         assertTrue(one.bodies.isEmpty() && two.bodies.isEmpty());
     }
 
-    // Guards against calls without a valid key, and against wrong methods that end without a typed answer.
+    // Guards against calls without a valid key, and against wrong methods that end without a typed error response.
     @Test
     public void refusesWrongKeysAndMethods() throws Exception {
         HttpRequest.Builder post = router.request("/v1/chat/completions")
-                .POST(HttpRequest.BodyPublishers.ofString(Router.body(false, "x")));
+                .POST(HttpRequest.BodyPublishers.ofString(EngineTestRouter.body(false, "x")));
         assertProblem(
                 router.send(post.setHeader("Authorization", "Bearer wrong").build()), 401, "unauthenticated");
         HttpRequest get = router.request("/v1/chat/completions").GET().build();
@@ -120,40 +120,39 @@
         assertTrue(models.body().contains("\"id\":\"m\""), models.body());
     }
 
-    // Guards against engines that go on computing for a caller that left, and against leaked slots.
+    // Guards against engines that go on computing for a caller that disconnected, and against leaked slots.
     @Test
     public void cancelsWhenTheCallerLeaves() throws Exception {
         one.holdAt = 2;
         two.holdAt = 2;
         one.tokens = 20_000;
         two.tokens = 20_000;
-        HttpResponse<InputStream> response = router.open(Router.body(true, "hello"));
-        BufferedReader reader = Router.reader(response);
-        Router.readEvent(reader);
+        HttpResponse<InputStream> response = router.openStream(EngineTestRouter.body(true, "hello"));
+        BufferedReader reader = EngineTestRouter.reader(response);
+        EngineTestRouter.readEvent(reader);
         assertEquals(router.inFlight(), 1);
         response.body().close();
-        one.hold.countDown();
-        two.hold.countDown();
-        Router.await("cancelled", () -> one.cancelled.size() + two.cancelled.size() == 1);
-        Router.await("slots given back", () -> router.inFlight() == 0);
-        Router.await("call ended", () -> router.counter("chat_active") == 0);
+        one.holdLatch.countDown();
+        two.holdLatch.countDown();
+        EngineTestRouter.await("cancelled", () -> one.cancelled.size() + two.cancelled.size() == 1);
+        EngineTestRouter.await("slots released", () -> router.inFlight() == 0);
+        EngineTestRouter.await("call ended", () -> router.counter("chat_active") == 0);
     }
 
     // Guards against tokens lost when the caller reads more slowly than the engine writes, and against memory that
-    // grows
-    // with the stream: the engine is held back.
+    // grows with the stream: the router must apply backpressure to the engine.
     @Test
-    public void holdsTheEngineBackForSlowCallers() throws Exception {
+    public void appliesBackpressureForSlowCallers() throws Exception {
         one.tokens = 60_000;
         two.tokens = 60_000;
-        BufferedReader reader = Router.reader(router.open(Router.body(true, "hello")));
-        Router.readEvent(reader);
-        Router.await("an engine is held back", () -> one.open.get() + two.open.get() == 1);
+        BufferedReader reader = EngineTestRouter.reader(router.openStream(EngineTestRouter.body(true, "hello")));
+        EngineTestRouter.readEvent(reader);
+        EngineTestRouter.await("an engine stream is open", () -> one.openStreams.get() + two.openStreams.get() == 1);
         StringBuilder text = new StringBuilder("w0 ");
-        Router.Event event = Router.readEvent(reader);
+        EngineTestRouter.Event event = EngineTestRouter.readEvent(reader);
         while (!event.data().equals("[DONE]")) {
-            text.append(Router.content(List.of(event)));
-            event = Router.readEvent(reader);
+            text.append(EngineTestRouter.content(List.of(event)));
+            event = EngineTestRouter.readEvent(reader);
         }
         assertEquals(text.toString(), FakeEngine.text(0, 60_000));
     }
@@ -163,20 +162,20 @@
     public void drainsWithoutCuttingStreams() throws Exception {
         one.holdAt = 2;
         two.holdAt = 2;
-        BufferedReader reader = Router.reader(router.open(Router.body(true, "hello")));
-        Router.readEvent(reader);
+        BufferedReader reader = EngineTestRouter.reader(router.openStream(EngineTestRouter.body(true, "hello")));
+        EngineTestRouter.readEvent(reader);
         router.traffic.refuseNew();
-        HttpResponse<String> refused = router.post(Router.body(true, "other"));
+        HttpResponse<String> refused = router.post(EngineTestRouter.body(true, "other"));
         assertProblem(refused, 503, "shutting-down");
         assertTrue(refused.headers().firstValue("Retry-After").isPresent());
         assertFalse(router.traffic.drained().isDone());
-        one.hold.countDown();
-        two.hold.countDown();
-        Router.Event last = Router.readEvent(reader);
+        one.holdLatch.countDown();
+        two.holdLatch.countDown();
+        EngineTestRouter.Event last = EngineTestRouter.readEvent(reader);
         while (!last.data().equals("[DONE]")) {
-            last = Router.readEvent(reader);
+            last = EngineTestRouter.readEvent(reader);
         }
-        Router.await("drained", () -> router.traffic.drained().isDone());
+        EngineTestRouter.await("drained", () -> router.traffic.drained().isDone());
     }
 
     private static void assertProblem(HttpResponse<String> response, int status, String type) {
--- a/agatelane-node/src/test/java/io/agatelane/node/io/engine/FakeDigests.java
+++ b/agatelane-node/src/test/java/io/agatelane/node/io/engine/FakeDigestExchange.java
@@ -9,7 +9,7 @@
 import java.util.function.Consumer;
 
 /** Delivers the digests of every router of a test to all the others at once. */
-final class FakeDigests {
+final class FakeDigestExchange {
     private final List<Endpoint> endpoints = new CopyOnWriteArrayList<>();
 
     DigestExchange attach() {
--- a/agatelane-node/src/test/java/io/agatelane/node/io/engine/FakeEngine.java
+++ b/agatelane-node/src/test/java/io/agatelane/node/io/engine/FakeEngine.java
@@ -36,8 +36,8 @@
     final List<JsonNode> bodies = new CopyOnWriteArrayList<>();
     final List<String> cancelled = new CopyOnWriteArrayList<>();
     final List<String> resumed = new CopyOnWriteArrayList<>();
-    final AtomicInteger open = new AtomicInteger();
-    final BlockingQueue<String> events = new LinkedBlockingQueue<>();
+    final AtomicInteger openStreams = new AtomicInteger();
+    final BlockingQueue<String> cacheEvents = new LinkedBlockingQueue<>();
     volatile String incarnation = "1";
     volatile String weights = "v1";
     volatile String role = "both";
@@ -48,20 +48,20 @@
     volatile double prefillTokensPerSecond = 100_000;
     volatile int tokens = 6;
     volatile int cachedTokens;
-    /** The whole engine goes down before this token of any stream. */
+    /** The engine crashes before it sends this token of any stream. */
     volatile int crashAt = NEVER;
-    /** The connection of a stream ends before this token, once; the engine keeps the stream. */
+    /** The connection of a stream ends before this token, once; the stream can still be resumed. */
     volatile int dropAt = NEVER;
-    /** The connection of a stream goes silent before this token, once; the engine keeps the stream. */
-    volatile int silentAt = NEVER;
-    /** This token is left out or sent twice, once. */
+    /** The connection of a stream stalls before this token, once; the stream can still be resumed. */
+    volatile int stallAt = NEVER;
+    /** This token is skipped, once; {@link #repeatToken} is sent twice, once. */
     volatile int skipToken = NEVER;
 
     volatile int repeatToken = NEVER;
     /** Streams wait for this latch before the given token. */
     volatile int holdAt = NEVER;
 
-    volatile CountDownLatch hold = new CountDownLatch(1);
+    volatile CountDownLatch holdLatch = new CountDownLatch(1);
     volatile boolean wrongRequestIdOnce;
     volatile boolean relativeNumbering;
     /** Tokens are parts of a tool call's arguments. */
@@ -74,7 +74,7 @@
 
     private final Server server = new Server();
     private final ServerConnector connector = new ServerConnector(server);
-    private final Map<String, Integer> held = new ConcurrentHashMap<>();
+    private final Map<String, Integer> storedStreams = new ConcurrentHashMap<>();
     private final CountDownLatch stopped = new CountDownLatch(1);
     private volatile boolean crashed;
 
@@ -126,7 +126,7 @@
         } else if (path.startsWith("/v1/streams/")) {
             String id = path.substring("/v1/streams/".length());
             if (request.getMethod().equals("DELETE")) {
-                held.remove(id);
+                storedStreams.remove(id);
                 cancelled.add(id);
                 reply(response, callback, 200, JsonNodeFactory.instance.objectNode());
             } else {
@@ -144,7 +144,7 @@
         try {
             Content.Sink.write(response, false, ByteBuffer.allocate(0));
             while (stopped.getCount() > 0) {
-                String event = events.poll(50, TimeUnit.MILLISECONDS);
+                String event = cacheEvents.poll(50, TimeUnit.MILLISECONDS);
                 if (event != null) {
                     Content.Sink.write(
                             response,
@@ -183,13 +183,13 @@
                 return;
             }
             String id = request.getHeaders().get("X-Request-Id");
-            held.put(id, from);
+            storedStreams.put(id, from);
             stream(response, callback, id, from, from);
         }
     }
 
     private void resume(Request request, Response response, Callback callback, String id) throws Exception {
-        Integer start = held.get(id);
+        Integer start = storedStreams.get(id);
         if (start == null) {
             error(response, callback, 404, "unknown_stream");
             return;
@@ -206,11 +206,11 @@
         response.getHeaders().put("Content-Type", "text/event-stream");
         response.getHeaders().put("X-Request-Id", wrongId ? "other" : id);
         response.getHeaders().put("X-Engine-Incarnation", incarnation);
-        open.incrementAndGet();
+        openStreams.incrementAndGet();
         try {
             Content.Sink.write(response, false, ByteBuffer.allocate(0));
             for (int i = from; i < tokens; i++) {
-                if (!faults(i)) {
+                if (!applyFaults(i)) {
                     callback.failed(new IOException("the connection was cut"));
                     return;
                 }
@@ -220,14 +220,14 @@
         } catch (IOException | UncheckedIOException e) {
             callback.failed(e);
         } finally {
-            open.decrementAndGet();
+            openStreams.decrementAndGet();
         }
     }
 
     // Returns false when the connection ends here.
-    private boolean faults(int token) throws Exception {
+    private boolean applyFaults(int token) throws Exception {
         if (token == holdAt) {
-            hold.await();
+            holdLatch.await();
         }
         if (token == crashAt) {
             onCrash.run();
@@ -238,8 +238,8 @@
             dropAt = NEVER;
             return false;
         }
-        if (token == silentAt) {
-            silentAt = NEVER;
+        if (token == stallAt) {
+            stallAt = NEVER;
             stopped.await();
         }
         return true;
@@ -301,7 +301,7 @@
     @Override
     public void close() throws Exception {
         stopped.countDown();
-        hold.countDown();
+        holdLatch.countDown();
         server.stop();
     }
 }
--- a/agatelane-node/src/test/java/io/agatelane/node/io/engine/StreamFailureTest.java
+++ b/agatelane-node/src/test/java/io/agatelane/node/io/engine/StreamFailureTest.java
@@ -20,12 +20,12 @@
 import org.testng.annotations.Test;
 
 public class StreamFailureTest {
-    private static final String WHOLE = FakeEngine.text(0, 6);
+    private static final String FULL_TEXT = FakeEngine.text(0, 6);
 
     private final List<FakeEngine> engines = new ArrayList<>();
     private final FakeConfigView config = new FakeConfigView();
-    private Router router;
-    private Router otherRouter;
+    private EngineTestRouter router;
+    private EngineTestRouter otherRouter;
 
     @BeforeMethod
     public void start() throws Exception {
@@ -34,9 +34,9 @@
             engines.add(new FakeEngine("e" + i));
         }
         configure(false);
-        FakeDigests digests = new FakeDigests();
-        router = new Router("r1", config, digests);
-        otherRouter = new Router("r2", config, digests);
+        FakeDigestExchange digests = new FakeDigestExchange();
+        router = new EngineTestRouter("r1", config, digests);
+        otherRouter = new EngineTestRouter("r2", config, digests);
         router.awaitReady(3);
         otherRouter.awaitReady(3);
     }
@@ -59,71 +59,72 @@
     @Test(dataProvider = "offsets")
     public void continuesOnAnotherEngineAfterACrash(int offset, boolean relativeNumbering) throws Exception {
         engines.forEach(engine -> engine.relativeNumbering = relativeNumbering);
-        crashOnlyTheFirst(offset);
-        List<Router.Event> events =
-                Router.events(router.post(Router.body(true, "hello")).body());
-        assertEquals(Router.content(events), WHOLE);
+        crashOnlyTheFirstEngineUsed(offset);
+        List<EngineTestRouter.Event> events = EngineTestRouter.events(
+                router.post(EngineTestRouter.body(true, "hello")).body());
+        assertEquals(EngineTestRouter.content(events), FULL_TEXT);
         assertEquals(events.get(events.size() - 1).data(), "[DONE]");
         assertEquals(router.counter("stream_continuations_total"), 1);
-        Router.await("slots given back", () -> router.inFlight() == 0);
+        EngineTestRouter.await("slots released", () -> router.inFlight() == 0);
     }
 
-    // Guards against callers without a stream that get half a text or an error after a crash (I2, I4).
+    // Guards against non-streaming callers that get a partial text or an error after a crash (I2, I4).
     @Test
-    public void continuesWholeAnswersToo() throws Exception {
-        crashOnlyTheFirst(3);
-        HttpResponse<String> response = router.post(Router.body(false, "hello"));
+    public void continuesNonStreamingResponsesAfterACrash() throws Exception {
+        crashOnlyTheFirstEngineUsed(3);
+        HttpResponse<String> response = router.post(EngineTestRouter.body(false, "hello"));
         assertEquals(response.statusCode(), 200);
-        Router.Event document = new Router.Event("", "", response.body());
-        assertEquals(document.json().at("/choices/0/message/content").asText(), WHOLE);
+        EngineTestRouter.Event document = new EngineTestRouter.Event("", "", response.body());
+        assertEquals(document.json().at("/choices/0/message/content").asText(), FULL_TEXT);
         assertEquals(document.json().at("/usage/completion_tokens").asInt(), 6);
     }
 
-    // Guards against "not run" for a request that an engine was running, and against sending a request that may have
-    // crashed its engine to another engine by itself (I5).
+    // Guards against reporting "not executed" for a request that an engine was running, and against automatic retries
+    // on another engine of a request that may have crashed its engine (I5).
     @Test
     public void doesNotRepeatARequestThatMayHaveCrashedItsEngine() throws Exception {
         engines.forEach(engine -> engine.crashAt = 0);
-        HttpResponse<String> response = router.post(Router.body(true, "hello"));
+        HttpResponse<String> response = router.post(EngineTestRouter.body(true, "hello"));
         assertEquals(response.statusCode(), 502);
         assertTrue(response.body().contains("\"executed\":\"unknown\""), response.body());
-        assertEquals(runs(), 1);
-        Router.await("slots given back", () -> router.inFlight() == 0);
+        assertEquals(attempts(), 1);
+        EngineTestRouter.await("slots released", () -> router.inFlight() == 0);
     }
 
-    // Guards against a request that takes down one engine after another: two are lost, also when its caller sends it
-    // again to another router, and other requests go on.
+    // Guards against a request that crashes one engine after another: at most two are lost, even when its caller
+    // retries at another router, and other requests are still served.
     @Test
     public void quarantinesARequestThatCrashesEngines() throws Exception {
         engines.forEach(engine -> engine.crashAt = 0);
-        String poison = Router.body(true, "poison");
+        String poison = EngineTestRouter.body(true, "poison");
         assertEquals(router.post(poison).statusCode(), 502);
         assertEquals(otherRouter.post(poison).statusCode(), 502);
-        Router.await(
-                "quarantine known", () -> unchecked(() -> router.post(poison)).statusCode() == 422);
+        EngineTestRouter.await(
+                "quarantine received",
+                () -> unchecked(() -> router.post(poison)).statusCode() == 422);
         HttpResponse<String> refused = otherRouter.post(poison);
         assertEquals(refused.statusCode(), 422);
         assertTrue(refused.body().contains("\"executed\":\"no\""), refused.body());
-        assertEquals(runs(), 2);
+        assertEquals(attempts(), 2);
         engines.forEach(engine -> engine.crashAt = -1);
-        assertEquals(router.post(Router.body(true, "harmless")).statusCode(), 200);
+        assertEquals(router.post(EngineTestRouter.body(true, "harmless")).statusCode(), 200);
     }
 
-    // Guards against a broken connection that counts as a crash: the engine keeps the stream, which is taken up again.
+    // Guards against a broken connection that counts as a crash: the engine still has the stream, which is resumed.
     @Test
-    public void takesUpTheStreamAfterALostConnection() throws Exception {
+    public void resumesTheStreamAfterALostConnection() throws Exception {
         engines.forEach(engine -> engine.dropAt = 2);
-        assertWhole(router.post(Router.body(true, "hello")));
-        assertEquals(runs(), 1);
+        assertFullStream(router.post(EngineTestRouter.body(true, "hello")));
+        assertEquals(attempts(), 1);
         assertEquals(router.counter("engine_crashes_seen_total"), 0);
     }
 
-    // Guards against a stream that hangs for ever on a connection that went silent.
+    // Guards against a stream that hangs forever on a stalled connection.
     @Test
-    public void replacesASilentConnection() throws Exception {
-        engines.forEach(engine -> engine.silentAt = 3);
-        assertWhole(router.post(Router.body(true, "hello")));
-        assertEquals(runs(), 1);
+    public void replacesAStalledConnection() throws Exception {
+        engines.forEach(engine -> engine.stallAt = 3);
+        assertFullStream(router.post(EngineTestRouter.body(true, "hello")));
+        assertEquals(attempts(), 1);
     }
 
     // Guards against tokens that are lost or sent twice to the caller (I2).
@@ -133,35 +134,35 @@
             engine.repeatToken = 1;
             engine.skipToken = 3;
         });
-        assertWhole(router.post(Router.body(true, "hello")));
+        assertFullStream(router.post(EngineTestRouter.body(true, "hello")));
         assertEquals(router.counter("stream_token_gaps_total"), 1);
         assertEquals(router.counter("stream_repeated_tokens_total"), 1);
     }
 
-    // Guards against a response that belongs to another request (I4).
+    // Guards against a misdelivered response that belongs to another request (I4).
     @Test
     public void dropsAResponseToAnotherRequest() throws Exception {
         engines.forEach(engine -> engine.wrongRequestIdOnce = true);
-        assertWhole(router.post(Router.body(true, "hello")));
+        assertFullStream(router.post(EngineTestRouter.body(true, "hello")));
         assertEquals(router.counter("engine_mismatched_responses_total"), 1);
     }
 
-    // Guards against work that relies on an engine's earlier life or on older weights (I1): the engine refuses, the
-    // router goes elsewhere, and nothing was run.
+    // Guards against work that relies on an engine's previous incarnation or on older weights (I1): the engine refuses
+    // before it runs anything, and the router uses another engine.
     @Test
-    public void goesElsewhereWhenAnEngineWasReplaced() throws Exception {
+    public void reroutesWhenAnEngineWasReplaced() throws Exception {
         FakeEngine replaced = engines.get(0);
         engines.get(1).waiting = 500;
         engines.get(2).waiting = 500;
-        Router.await(
-                "load known",
+        EngineTestRouter.await(
+                "load reports received",
                 () -> router.traffic.upstreams().stream()
                                 .filter(upstream -> upstream.getWaiting() == 500)
                                 .count()
                         == 2);
         replaced.refuseStatus = 409;
         replaced.refuseType = "incarnation_mismatch";
-        assertWhole(router.post(Router.body(true, "hello")));
+        assertFullStream(router.post(EngineTestRouter.body(true, "hello")));
         assertEquals(replaced.bodies.size(), 1);
     }
 
@@ -170,16 +171,16 @@
     @Test
     public void resumesAtAnotherRouter() throws Exception {
         engines.forEach(engine -> engine.holdAt = 2);
-        String body = Router.body(true, "hello");
-        var first = router.open(body);
-        BufferedReader reader = Router.reader(first);
-        Router.readEvent(reader);
-        Router.Event second = Router.readEvent(reader);
+        String body = EngineTestRouter.body(true, "hello");
+        var first = router.openStream(body);
+        BufferedReader reader = EngineTestRouter.reader(first);
+        EngineTestRouter.readEvent(reader);
+        EngineTestRouter.Event second = EngineTestRouter.readEvent(reader);
         first.body().close();
-        engines.forEach(engine -> engine.hold.countDown());
+        engines.forEach(engine -> engine.holdLatch.countDown());
         HttpResponse<String> rest = otherRouter.post(body, "Last-Event-ID", second.id());
-        List<Router.Event> events = Router.events(rest.body());
-        assertEquals(Router.content(events), FakeEngine.text(2, 6));
+        List<EngineTestRouter.Event> events = EngineTestRouter.events(rest.body());
+        assertEquals(EngineTestRouter.content(events), FakeEngine.text(2, 6));
         assertEquals(events.get(events.size() - 1).data(), "[DONE]");
     }
 
@@ -187,11 +188,11 @@
     @Test
     public void continuesAResumedStreamAfterACrash() throws Exception {
         engines.forEach(engine -> engine.holdAt = 2);
-        String body = Router.body(true, "hello");
-        var first = router.open(body);
-        BufferedReader reader = Router.reader(first);
-        Router.readEvent(reader);
-        Router.Event second = Router.readEvent(reader);
+        String body = EngineTestRouter.body(true, "hello");
+        var first = router.openStream(body);
+        BufferedReader reader = EngineTestRouter.reader(first);
+        EngineTestRouter.readEvent(reader);
+        EngineTestRouter.Event second = EngineTestRouter.readEvent(reader);
         String holder = second.id().substring(0, second.id().indexOf('~'));
         FakeEngine engine = engines.stream()
                 .filter(candidate -> candidate.name.equals(holder))
@@ -199,54 +200,55 @@
                 .orElseThrow();
         CompletableFuture<HttpResponse<String>> resumed = CompletableFuture.supplyAsync(
                 () -> unchecked(() -> otherRouter.post(body, "Last-Event-ID", second.id())));
-        Router.await("resumed", () -> !engine.resumed.isEmpty());
+        EngineTestRouter.await("resumed", () -> !engine.resumed.isEmpty());
         engine.crashAt = 4;
-        engines.forEach(any -> any.hold.countDown());
+        engines.forEach(any -> any.holdLatch.countDown());
         HttpResponse<String> rest = resumed.get();
-        assertEquals(Router.content(Router.events(rest.body())), FakeEngine.text(2, 6));
+        assertEquals(EngineTestRouter.content(EngineTestRouter.events(rest.body())), FakeEngine.text(2, 6));
     }
 
     // Guards against one account reading another account's stream, or another request's, by its event id (I1, I4).
     @Test
-    public void refusesAForeignEventId() throws Exception {
+    public void refusesAnEventIdOfAnotherRequest() throws Exception {
         engines.forEach(engine -> engine.holdAt = 1);
-        BufferedReader reader = Router.reader(router.open(Router.body(true, "hello")));
-        Router.Event event = Router.readEvent(reader);
+        BufferedReader reader = EngineTestRouter.reader(router.openStream(EngineTestRouter.body(true, "hello")));
+        EngineTestRouter.Event event = EngineTestRouter.readEvent(reader);
         assertNotNull(event);
-        HttpResponse<String> other = router.post(Router.body(true, "other"), "Last-Event-ID", event.id());
+        HttpResponse<String> other = router.post(EngineTestRouter.body(true, "other"), "Last-Event-ID", event.id());
         assertEquals(other.statusCode(), 409, other.body());
         assertTrue(engines.stream().allMatch(engine -> engine.resumed.isEmpty()));
-        HttpResponse<String> bad = router.post(Router.body(true, "hello"), "Last-Event-ID", "nonsense");
+        HttpResponse<String> bad = router.post(EngineTestRouter.body(true, "hello"), "Last-Event-ID", "nonsense");
         assertEquals(bad.statusCode(), 400);
     }
 
-    // Guards against a leaving engine that still gets work (I7): by its own report, by the configuration, and by
-    // another
-    // router's digest.
+    // Guards against a draining engine that still gets work (I7), whether it is draining by its own report, by the
+    // configuration or by another router's digest.
     @Test
-    public void sendsNothingToLeavingEngines() throws Exception {
+    public void sendsNothingToDrainingEngines() throws Exception {
         engines.get(0).role = "draining";
         configure(true);
-        Router.await(
-                "leaving",
+        EngineTestRouter.await(
+                "draining",
                 () -> router.traffic.upstreams().stream()
                                 .filter(upstream -> upstream.getState().equals("draining"))
                                 .count()
                         == 2);
         for (int i = 0; i < 20; i++) {
-            assertWhole(router.post(Router.body(true, "request " + i)));
+            assertFullStream(router.post(EngineTestRouter.body(true, "request " + i)));
         }
         assertEquals(engines.get(0).bodies.size() + engines.get(1).bodies.size(), 0);
         engines.get(2).role = "draining";
-        Router.await(
+        EngineTestRouter.await(
                 "no engine",
-                () -> unchecked(() -> router.post(Router.body(true, "x"))).statusCode() == 503);
+                () -> unchecked(() -> router.post(EngineTestRouter.body(true, "x")))
+                                .statusCode()
+                        == 503);
     }
 
     private void configure(boolean secondDraining) {
         ConfigSnapshot.Builder builder = ConfigSnapshot.builder()
                 .revision(1)
-                .add(new ClientAccount("a", List.of(Authenticator.sha256Hex(Router.KEY)), 0, 0, 1, ""))
+                .add(new ClientAccount("a", List.of(Authenticator.sha256Hex(EngineTestRouter.KEY)), 0, 0, 1, ""))
                 .add(new Model("m", "v1", 100_000, 100, ""));
         for (FakeEngine engine : engines) {
             var upstream = engine.upstream("m");
@@ -264,19 +266,19 @@
     }
 
     // The first engine that runs anything crashes; the others are healthy from then on.
-    private void crashOnlyTheFirst(int offset) {
+    private void crashOnlyTheFirstEngineUsed(int offset) {
         engines.forEach(engine -> engine.onCrash = () -> engines.forEach(other -> other.crashAt = -1));
         engines.forEach(engine -> engine.crashAt = offset);
     }
 
-    private int runs() {
+    private int attempts() {
         return engines.stream().mapToInt(engine -> engine.bodies.size()).sum();
     }
 
-    private static void assertWhole(HttpResponse<String> response) {
+    private static void assertFullStream(HttpResponse<String> response) {
         assertEquals(response.statusCode(), 200, response.body());
-        List<Router.Event> events = Router.events(response.body());
-        assertEquals(Router.content(events), WHOLE);
+        List<EngineTestRouter.Event> events = EngineTestRouter.events(response.body());
+        assertEquals(EngineTestRouter.content(events), FULL_TEXT);
         assertEquals(events.get(events.size() - 1).data(), "[DONE]");
     }
 
--- a/agatelane-node/src/test/java/io/agatelane/node/io/engine/TrafficRulesTest.java
+++ b/agatelane-node/src/test/java/io/agatelane/node/io/engine/TrafficPolicyTest.java
@@ -24,21 +24,21 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-public class TrafficRulesTest {
+public class TrafficPolicyTest {
     private FakeConfigView config;
     private FakeEngine one;
     private FakeEngine two;
-    private FakeDigests digests;
-    private Router router;
+    private FakeDigestExchange digests;
+    private EngineTestRouter router;
 
     @BeforeMethod
     public void start() throws Exception {
         config = new FakeConfigView();
         one = new FakeEngine("e1");
         two = new FakeEngine("e2");
-        digests = new FakeDigests();
+        digests = new FakeDigestExchange();
         configure(0, 0);
-        router = new Router("r1", config, digests);
+        router = new EngineTestRouter("r1", config, digests);
         router.awaitReady(2);
     }
 
@@ -50,14 +50,13 @@
     }
 
     // Guards against requests that wait beyond their deadline, and refusals that come late, without the time after
-    // which
-    // to retry, or after an engine saw the request (I5).
+    // which to retry, or after an engine received the request (I5).
     @Test
     public void refusesAtOnceWhenTheQueueIsTooLong() throws Exception {
         one.waiting = 500;
         two.waiting = 500;
         awaitWaiting(500);
-        HttpResponse<String> refused = router.post(Router.body(true, "hello"));
+        HttpResponse<String> refused = router.post(EngineTestRouter.body(true, "hello"));
         assertEquals(refused.statusCode(), 503, refused.body());
         assertTrue(refused.body().contains("\"type\":\"urn:agatelane:problem:overloaded\""), refused.body());
         assertTrue(refused.body().contains("\"executed\":\"no\""), refused.body());
@@ -69,12 +68,12 @@
     @Test
     public void enforcesTheAccountLimit() throws Exception {
         configure(1, 300);
-        assertEquals(router.post(Router.body(true, "one")).statusCode(), 200);
-        assertEquals(router.post(Router.body(true, "two")).statusCode(), 200);
+        assertEquals(router.post(EngineTestRouter.body(true, "one")).statusCode(), 200);
+        assertEquals(router.post(EngineTestRouter.body(true, "two")).statusCode(), 200);
         int status = 200;
         HttpResponse<String> last = null;
         for (int i = 0; i < 60 && status == 200; i++) {
-            last = router.post(Router.body(true, "more " + i));
+            last = router.post(EngineTestRouter.body(true, "more " + i));
             status = last.statusCode();
         }
         assertNotNull(last);
@@ -82,12 +81,13 @@
         assertTrue(last.headers().firstValue("Retry-After").isPresent());
     }
 
-    // Guards against callers that choose their own cache namespace or priority, and long work that goes before short
-    // work.
+    // Guards against callers that choose their own cache namespace or priority, and against long requests that run
+    // before short ones.
     @Test
-    public void ownsSaltAndPriority() throws Exception {
-        router.post(withField(Router.body(true, "short"), "\"cache_salt\":\"b/v1\",\"priority\":-5,\"max_tokens\":10"));
-        router.post(withField(Router.body(true, "long"), "\"max_tokens\":50000"));
+    public void overridesSaltAndPriorityOfTheCaller() throws Exception {
+        router.post(withField(
+                EngineTestRouter.body(true, "short"), "\"cache_salt\":\"b/v1\",\"priority\":-5,\"max_tokens\":10"));
+        router.post(withField(EngineTestRouter.body(true, "long"), "\"max_tokens\":50000"));
         JsonNode shortBody = body("short");
         JsonNode longBody = body("long");
         assertEquals(shortBody.path("cache_salt").asText(), "a/v1");
@@ -97,36 +97,35 @@
     }
 
     // Guards against short requests that wait for a slow engine, a hedge that is not cancelled when it loses or wins,
-    // and
-    // tokens of both runs in one response.
+    // and tokens of both attempts in one response.
     @Test
     public void hedgesShortStreams() throws Exception {
         one.holdAt = 0;
         for (int i = 0; i < 50 && router.counter("engine_hedges_total") == 0; i++) {
-            HttpResponse<String> response = router.post(Router.body(true, "request " + i));
-            assertEquals(Router.content(Router.events(response.body())), FakeEngine.text(0, 6));
+            HttpResponse<String> response = router.post(EngineTestRouter.body(true, "request " + i));
+            assertEquals(EngineTestRouter.content(EngineTestRouter.events(response.body())), FakeEngine.text(0, 6));
         }
         assertEquals(router.counter("engine_hedges_won_total"), 1);
-        Router.await("slower run cancelled", () -> one.cancelled.size() == 1);
-        Router.await("slots given back", () -> router.inFlight() == 0);
+        EngineTestRouter.await("slower attempt cancelled", () -> one.cancelled.size() == 1);
+        EngineTestRouter.await("slots released", () -> router.inFlight() == 0);
     }
 
-    // Guards against an engine that gets work although another router saw it leave (I7), and against a mark that stays
-    // after the engine came back.
+    // Guards against an engine that gets work although another router reported it as draining (I7), and against a
+    // draining mark that remains after the engine is ready again.
     @Test
-    public void believesPeersAboutLeavingEngines() throws Exception {
+    public void appliesDrainingMarksOfPeers() throws Exception {
         DigestExchange peer = digests.attach();
         peer.publish(UpstreamDigest.newBuilder()
                 .setUpstream("e1")
                 .setIncarnation("1")
                 .setDraining(true)
                 .build());
-        Router.await("leaving", () -> state("e1").equals("draining"));
+        EngineTestRouter.await("draining", () -> state("e1").equals("draining"));
         for (int i = 0; i < 10; i++) {
-            router.post(Router.body(true, "request " + i));
+            router.post(EngineTestRouter.body(true, "request " + i));
         }
         assertEquals(one.bodies.size(), 0);
-        Router.await("back", () -> state("e1").equals("ready"));
+        EngineTestRouter.await("ready again", () -> state("e1").equals("ready"));
     }
 
     // Guards against hints that ignore cache events, or outlive a gap or the loss of the cache.
@@ -139,14 +138,14 @@
                 .build();
         String digest = HexFormat.of().toHexDigits(prompt.digest(prompt.blocksAtLevel(0) - 1));
         double cold = prefillMillis("e1", document);
-        one.events.add(event(1, "stored", digest));
-        Router.await("stored", () -> prefillMillis("e1", document) < cold / 2);
-        one.events.add(event(2, "evicted", digest));
-        Router.await("evicted", () -> prefillMillis("e1", document) >= cold * 0.9);
-        one.events.add(event(3, "stored", digest));
-        Router.await("stored again", () -> prefillMillis("e1", document) < cold / 2);
-        one.events.add(event(9, "stored", "00000000000000ff"));
-        Router.await("dropped after a gap", () -> prefillMillis("e1", document) >= cold * 0.9);
+        one.cacheEvents.add(event(1, "stored", digest));
+        EngineTestRouter.await("stored", () -> prefillMillis("e1", document) < cold / 2);
+        one.cacheEvents.add(event(2, "evicted", digest));
+        EngineTestRouter.await("evicted", () -> prefillMillis("e1", document) >= cold * 0.9);
+        one.cacheEvents.add(event(3, "stored", digest));
+        EngineTestRouter.await("stored again", () -> prefillMillis("e1", document) < cold / 2);
+        one.cacheEvents.add(event(9, "stored", "00000000000000ff"));
+        EngineTestRouter.await("dropped after a gap", () -> prefillMillis("e1", document) >= cold * 0.9);
     }
 
     private static String event(int sequence, String type, String digest) {
@@ -157,7 +156,7 @@
     private double prefillMillis(String upstream, String document) {
         ExplainResponse response = router.traffic.explain(ExplainRequest.newBuilder()
                 .setClientAccount("a")
-                .setBody(Router.body(true, document, "x"))
+                .setBody(EngineTestRouter.body(true, document, "x"))
                 .build());
         return response.getCandidatesList().stream()
                 .filter(candidate -> candidate.getUpstream().equals(upstream))
@@ -175,7 +174,7 @@
     }
 
     private void awaitWaiting(int waiting) throws InterruptedException {
-        Router.await("load known", () -> router.traffic.upstreams().stream()
+        EngineTestRouter.await("load reports received", () -> router.traffic.upstreams().stream()
                 .allMatch(upstream -> upstream.getWaiting() == waiting));
     }
 
@@ -192,7 +191,7 @@
     }
 
     private void configure(long tokensPerSecond, long burstTokens) {
-        String key = Authenticator.sha256Hex(Router.KEY);
+        String key = Authenticator.sha256Hex(EngineTestRouter.KEY);
         config.set(ConfigSnapshot.builder()
                 .revision(1)
                 .add(new ClientAccount("a", List.of(key), tokensPerSecond, burstTokens, 1, ""))
