--- a/agatelane-core/src/main/java/io/agatelane/core/fleet/CacheStore.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/fleet/CacheStore.java
@@ -1,16 +1,16 @@
 package io.agatelane.core.fleet;
 
 /**
- * A store that keeps KV cache of prompt parts outside the engines.
+ * A store outside the engines that holds the KV cache of prompt parts.
  *
  * @param address IP:PORT
- * @param capacityTokens tokens that fit
- * @param linkMegabitsPerSecond speed of transfers from and to it
- * @param incarnation changes when the store restarts, which empties it; 0 when it was not asked yet
+ * @param capacityTokens number of tokens that fit into the store
+ * @param linkMegabitsPerSecond bandwidth of transfers from and to the store
+ * @param incarnation changes when the store restarts, which empties it; 0 while it has not been queried yet
  */
 public record CacheStore(
         String name, String address, String zone, long capacityTokens, double linkMegabitsPerSecond, long incarnation) {
-    /** The same store after a start. */
+    /** Returns the same store with the incarnation that it has reported. */
     public CacheStore withIncarnation(long newIncarnation) {
         return new CacheStore(name, address, zone, capacityTokens, linkMegabitsPerSecond, newIncarnation);
     }
--- a/agatelane-core/src/main/java/io/agatelane/core/fleet/CallerLimits.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/fleet/CallerLimits.java
@@ -1,4 +1,4 @@
 package io.agatelane.core.fleet;
 
-/** Bounds on what a caller may send and on how long it may take. */
+/** Limits on the size of a caller's request and on the time that the caller takes to send it. */
 public record CallerLimits(int headerBytes, int bodyBytes, long headerTimeoutMillis, long idleTimeoutMillis) {}
--- a/agatelane-core/src/main/java/io/agatelane/core/fleet/ConfigProof.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/fleet/ConfigProof.java
@@ -1,26 +1,27 @@
 package io.agatelane.core.fleet;
 
 /**
- * The newest moment at which the configuration was known to be current.
+ * Readings of the monotonic clock and the wall clock at one moment, such as the last time at which the configuration
+ * was verified as current.
  *
- * <p>The monotonic clock stands still while a VM is suspended, the wall clock may be stepped. The age is the larger of
- * both, so that neither makes a proof look younger than it is.
+ * <p>The monotonic clock stops while a VM is suspended, and the wall clock may be stepped. The age is the larger one of
+ * both clocks, so that neither effect makes a reading look more recent than it is.
  *
- * @param monotonicMillis when the read that proves it was sent
- * @param epochMillis the same moment in wall-clock time
+ * @param monotonicMillis monotonic time; for a read of the configuration, the time at which the read was sent
+ * @param epochMillis wall-clock time of the same moment
  */
 public record ConfigProof(long monotonicMillis, long epochMillis) {
-    /** Whether another proof shows a later moment on both clocks. */
+    /** Whether another reading is later on both clocks. */
     public boolean isOlderThan(ConfigProof other) {
         return monotonicMillis < other.monotonicMillis && epochMillis < other.epochMillis;
     }
 
-    /** The same proof, earlier by an age. */
+    /** Returns this reading moved back by an age on both clocks. */
     public ConfigProof earlierBy(long ageMillis) {
         return new ConfigProof(monotonicMillis - ageMillis, epochMillis - ageMillis);
     }
 
-    /** Age at a moment, in milliseconds. */
+    /** Returns the age at a moment: the larger one of the ages by both clocks. */
     public long ageMillis(long nowMonotonicMillis, long nowEpochMillis) {
         return Math.max(nowMonotonicMillis - monotonicMillis, nowEpochMillis - epochMillis);
     }
--- a/agatelane-core/src/main/java/io/agatelane/core/fleet/FleetAccount.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/fleet/FleetAccount.java
@@ -5,7 +5,7 @@
 /**
  * A client account.
  *
- * @param priority goes before the priority of a route
- * @param isolated whether its cached prompt parts are shared with no other account
+ * @param priority overrides the priority of the route
+ * @param isolated whether its cached prompt parts are not shared with other accounts
  */
 public record FleetAccount(String name, OptionalInt priority, boolean isolated) {}
--- a/agatelane-core/src/main/java/io/agatelane/core/fleet/FleetConfig.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/fleet/FleetConfig.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** One version of the operator's configuration. */
+/** Immutable lookup tables for one version of the operator's configuration. */
 public final class FleetConfig {
     private final long version;
     private final Map<String, List<Route>> routesByHost = new HashMap<>();
@@ -19,10 +19,10 @@
     private final CallerLimits limits;
 
     /**
-     * Builds the look-up tables.
+     * Builds the lookup tables.
      *
      * @param accountsByKey API key to account
-     * @param hasAccounts whether requests need a key at all
+     * @param hasAccounts whether client accounts are configured, so that requests to non-public routes need an API key
      */
     public FleetConfig(
             long version,
@@ -52,7 +52,7 @@
         return version;
     }
 
-    /** The route of the host with the longest prefix of the path. */
+    /** Returns the route of the host whose path prefix is the longest that matches the path. */
     public Optional<Route> route(String host, String path) {
         List<Route> candidates = routesByHost.get(withoutPort(host).toLowerCase(Locale.ROOT));
         if (candidates == null) {
@@ -67,7 +67,7 @@
         return Optional.ofNullable(services.get(name));
     }
 
-    /** The first store of kept KV cache. */
+    /** Returns the first configured store for KV cache contents. */
     public Optional<CacheStore> cacheStore() {
         return cacheStores.stream().findFirst();
     }
--- a/agatelane-core/src/main/java/io/agatelane/core/fleet/FleetUpstream.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/fleet/FleetUpstream.java
@@ -3,14 +3,14 @@
 import java.util.Map;
 
 /**
- * An upstream as it describes itself in the directory.
+ * An upstream as registered in the store, described by its own entry.
  *
- * @param id unique over all upstreams; may be kept over a restart
- * @param incarnation start time in milliseconds since 1970; 0 when not stated
+ * @param id unique among all upstreams; may stay the same across restarts
+ * @param incarnation start time in milliseconds since 1970; 0 when the entry does not contain it
  * @param address IP:PORT
- * @param slots requests that run at once
- * @param draining whether it takes no new work
- * @param weightsVersions model to version of the loaded weights
+ * @param slots number of requests that the upstream runs at the same time
+ * @param draining whether the upstream takes no new requests
+ * @param weightsVersions version of the loaded weights, by model
  */
 public record FleetUpstream(
         String id,
@@ -25,7 +25,7 @@
         weightsVersions = Map.copyOf(weightsVersions);
     }
 
-    /** Identity of this start of the upstream. */
+    /** Identifies one incarnation of the upstream, so that a restarted upstream has another key. */
     public String key() {
         return id + '@' + incarnation;
     }
--- a/agatelane-core/src/main/java/io/agatelane/core/fleet/FleetView.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/fleet/FleetView.java
@@ -6,18 +6,18 @@
 import java.util.Set;
 
 /**
- * What a router knows of the deployment after one read of the store.
+ * Immutable snapshot of the deployment, as of one read of the store.
  *
  * @param config empty when the store holds no readable configuration
- * @param newestWeights model to the newest version that the operator named
- * @param reserved ids of upstreams that are about to load weights and take no requests meanwhile
+ * @param newestWeights newest weights version that the operator has requested, by model
+ * @param reserved ids of upstreams that are about to load weights and take no requests until they have done so
  */
 public record FleetView(
         Optional<FleetConfig> config,
         List<FleetUpstream> upstreams,
         Map<String, Long> newestWeights,
         Set<String> reserved) {
-    /** Nothing is known yet. */
+    /** The snapshot before the first read of the store. */
     public static final FleetView EMPTY = new FleetView(Optional.empty(), List.of(), Map.of(), Set.of());
 
     public FleetView {
@@ -26,7 +26,7 @@
         reserved = Set.copyOf(reserved);
     }
 
-    /** The upstreams of a service that take new work. */
+    /** Returns the upstreams of a service that are not draining. */
     public List<FleetUpstream> usable(String service) {
         return upstreams.stream()
                 .filter(upstream -> upstream.service().equals(service) && !upstream.draining())
--- a/agatelane-core/src/main/java/io/agatelane/core/fleet/NamedWeights.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/fleet/NamedWeights.java
@@ -5,10 +5,10 @@
 import java.util.Optional;
 import java.util.TreeMap;
 
-/** The versions of a model's weights that the operator named, as one router has read them. Immutable. */
+/** The weights versions that the operator has requested for a model, as one router has read them. Immutable. */
 public final class NamedWeights {
-    // Engines that are more versions behind count as behind the oldest one that is remembered.
-    private static final int MAX_REMEMBERED = 8;
+    // An engine that is further behind counts as having been replaced by the oldest stored version.
+    private static final int MAX_VERSIONS = 8;
 
     private final NavigableMap<Long, Naming> versions;
 
@@ -17,38 +17,39 @@
     }
 
     /**
-     * When a version was first read.
+     * The first read of a requested version.
      *
-     * @param seenMillis monotonic time
-     * @param sawNaming whether the router had read the store before; otherwise it may have been named long ago
+     * @param firstSeenMillis monotonic time of the read
+     * @param requestTimeKnown whether the router had read the store before this version appeared; otherwise the version
+     *     may have been requested long before it was first read
      */
-    public record Naming(long seenMillis, boolean sawNaming) {}
+    public record Naming(long firstSeenMillis, boolean requestTimeKnown) {}
 
-    /** One version and no older ones. */
-    public static NamedWeights of(long version, Naming naming) {
-        return new NamedWeights(new TreeMap<>(Map.of(version, naming)));
+    /** Creates the history of a model of which a single version is known. */
+    public static NamedWeights of(long version, Naming firstRead) {
+        return new NamedWeights(new TreeMap<>(Map.of(version, firstRead)));
     }
 
-    /** Adds a version; one that is known keeps its time. */
-    public NamedWeights with(long version, Naming naming) {
+    /** Returns a copy with a newer version added; a version that is already known keeps the time of its first read. */
+    public NamedWeights with(long version, Naming firstRead) {
         if (version <= newest()) {
             return this;
         }
-        NavigableMap<Long, Naming> more = new TreeMap<>(versions);
-        more.put(version, naming);
-        if (more.size() > MAX_REMEMBERED) {
-            more.pollFirstEntry();
+        NavigableMap<Long, Naming> extended = new TreeMap<>(versions);
+        extended.put(version, firstRead);
+        if (extended.size() > MAX_VERSIONS) {
+            extended.pollFirstEntry();
         }
-        return new NamedWeights(more);
+        return new NamedWeights(extended);
     }
 
-    /** The newest version. */
+    /** Returns the newest requested version. */
     public long newest() {
         return versions.lastKey();
     }
 
-    /** When the first version after the given one was named; empty when there is none. */
-    public Optional<Naming> replaced(long version) {
+    /** Returns when the version that replaced the given one was first read; empty when it has not been replaced. */
+    public Optional<Naming> replacementOf(long version) {
         return Optional.ofNullable(versions.higherEntry(version)).map(Map.Entry::getValue);
     }
 }
--- a/agatelane-core/src/main/java/io/agatelane/core/fleet/PeerLoad.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/fleet/PeerLoad.java
@@ -1,21 +1,21 @@
 package io.agatelane.core.fleet;
 
 /**
- * What another router says of an upstream.
+ * Load that another router causes and observes at an upstream.
  *
  * @param upstream hash of the upstream's key
- * @param backlog prefill work of requests that have no answer yet
- * @param silentMillis age of the oldest request without an answer
- * @param failures recent failures, faded with time
+ * @param backlog prefill work of requests whose response has not started yet
+ * @param silentMillis age of the oldest request whose response has not started yet
+ * @param failures exponentially decayed number of recent failures
  */
 public record PeerLoad(long upstream, int inFlight, PrefillBacklog backlog, int silentMillis, double failures) {
-    /** This load without the part that another one is of it. */
-    public PeerLoad minus(PeerLoad part) {
+    /** Returns the difference of two loads, with no count below 0. */
+    public PeerLoad minus(PeerLoad subtracted) {
         return new PeerLoad(
                 upstream,
-                Math.max(0, inFlight - part.inFlight()),
-                backlog.minus(part.backlog()),
+                Math.max(0, inFlight - subtracted.inFlight()),
+                backlog.minus(subtracted.backlog()),
                 silentMillis,
-                Math.max(0, failures - part.failures()));
+                Math.max(0, failures - subtracted.failures()));
     }
 }
--- a/agatelane-core/src/main/java/io/agatelane/core/fleet/PeerTotal.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/fleet/PeerTotal.java
@@ -1,12 +1,13 @@
 package io.agatelane.core.fleet;
 
 /**
- * What all other routers together say of an upstream.
+ * Sum of the loads that all other routers report for an upstream.
  *
- * @param backlog prefill work of requests that have no answer yet
- * @param silentMillis age of the oldest request without an answer that at least two routers agree on
+ * @param backlog prefill work of requests whose response has not started yet
+ * @param confirmedUnansweredMillis second longest of the routers' ages of their oldest unanswered request, so that a
+ *     single router which is cut off from the upstream does not count
  */
-public record PeerTotal(int inFlight, PrefillBacklog backlog, int silentMillis, double failures) {
-    /** No other router has said anything. */
+public record PeerTotal(int inFlight, PrefillBacklog backlog, int confirmedUnansweredMillis, double failures) {
+    /** The total when no other router has reported any load. */
     public static final PeerTotal NONE = new PeerTotal(0, PrefillBacklog.EMPTY, 0, 0);
 }
--- a/agatelane-core/src/main/java/io/agatelane/core/fleet/PlacementIndex.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/fleet/PlacementIndex.java
@@ -10,94 +10,100 @@
 import java.util.OptionalLong;
 
 /**
- * Where shared prompt parts were sent lately, by this router and its peers. Bounded and thread-safe.
+ * Index of the engines and stores that recently received shared prompt parts from this router or its peers. Bounded and
+ * thread-safe.
  *
- * <p>An engine drops the parts it has not used for longest. How much it has read since a part was used tells whether the
- * part is still there; no cache events are needed.
+ * <p>An engine evicts the least recently used parts first. Whether it still has a part is therefore estimated from the
+ * number of tokens that it has added to its cache since the part was last used; no cache events are needed.
  */
 public final class PlacementIndex {
-    private static final int CAPACITY = 20_000;
-    private static final int MAX_HOLDERS = 4;
-    // Parts that are read at one time, and those whose reading has failed.
-    private static final int MAX_READERS = 2_000;
+    private static final int MAX_PARTS = 20_000;
+    private static final int MAX_HOLDERS_PER_PART = 4;
+    // Parts whose prefill is in progress, and those whose prefill has failed.
+    private static final int MAX_PREFILLS = 2_000;
     private static final float LOAD_FACTOR = 0.75f;
-    // Placements that were not sent to the peers yet; older ones are dropped, which costs at most a transfer.
-    private static final int MAX_UNSENT = 256;
+    // Placements that have not been sent to the peers yet; the oldest are dropped, which costs at most a cache
+    // transfer.
+    private static final int MAX_UNSENT_PLACEMENTS = 256;
 
-    private final Map<Long, Map<Long, Long>> readTokensAtUse = new LinkedHashMap<>(1_024, LOAD_FACTOR, true) {
+    private final Map<Long, Map<Long, Long>> addedTokensAtUse = new LinkedHashMap<>(1_024, LOAD_FACTOR, true) {
         private static final long serialVersionUID = 1L;
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<Long, Map<Long, Long>> eldest) {
-            return size() > CAPACITY;
+            return size() > MAX_PARTS;
         }
     };
-    private final Map<Long, Long> readTokens = new HashMap<>();
-    // Needs no time limit: a holder that failed to read a part reads it when the next request follows the entry.
-    private final Map<Long, Long> readers = new LinkedHashMap<>() {
+    private final Map<Long, Long> addedTokens = new HashMap<>();
+    // Needs no expiry: after a failed prefill, the next request is sent to the same holder, which then prefills the
+    // part.
+    private final Map<Long, Long> prefillingHolders = new LinkedHashMap<>() {
         private static final long serialVersionUID = 1L;
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<Long, Long> eldest) {
-            return size() > MAX_READERS;
+            return size() > MAX_PREFILLS;
         }
     };
     private final Deque<Placement> unsent = new ArrayDeque<>();
 
     /**
-     * A use of a part.
+     * The use of a prompt part at a holder.
      *
-     * @param part hash of cache salt and part
+     * @param part hash of the cache salt and the part's id
      * @param holder hash of the engine's key or the store's address
-     * @param tokens tokens that the holder has taken into its memory for the request; 0 while it still reads the part
+     * @param tokens tokens that the holder has added to its cache for the request; 0 while the prefill of the part is
+     *     in progress
      */
     public record Placement(long part, long holder, int tokens) {}
 
-    /** Records a use that this router has seen. */
+    /** Records a use observed by this router and queues it for its peers. */
     public synchronized void placed(Placement placement) {
         apply(placement);
         unsent.addLast(placement);
-        if (unsent.size() > MAX_UNSENT) {
+        if (unsent.size() > MAX_UNSENT_PLACEMENTS) {
             unsent.removeFirst();
         }
     }
 
-    /** Records a use that a peer has seen. */
+    /** Records a use that a peer has reported. */
     public synchronized void heard(Placement placement) {
         apply(placement);
     }
 
-    /** Takes the uses that the peers were not told yet. */
+    /** Removes and returns the uses that have not been sent to the peers yet. */
     public synchronized List<Placement> takeUnsent() {
         List<Placement> taken = new ArrayList<>(unsent);
         unsent.clear();
         return taken;
     }
 
-    /** Whether a holder probably still has a part, given how many tokens of unused parts it can keep. */
-    public synchronized boolean holds(long part, long holder, double keptTokens) {
-        Map<Long, Long> uses = readTokensAtUse.get(part);
+    /** Whether a holder probably still has a part, given how many tokens of unused parts fit into its cache. */
+    public synchronized boolean holds(long part, long holder, double cacheTokens) {
+        Map<Long, Long> uses = addedTokensAtUse.get(part);
         Long atUse = uses == null ? null : uses.get(holder);
-        return atUse != null && readTokens.getOrDefault(holder, 0L) - atUse < keptTokens;
+        return atUse != null && addedTokens.getOrDefault(holder, 0L) - atUse < cacheTokens;
     }
 
-    /** The holder that a request was sent to which reads a part; empty when the part was read since, or never. */
-    public synchronized OptionalLong reader(long part) {
-        Long reader = readers.get(part);
-        return reader == null ? OptionalLong.empty() : OptionalLong.of(reader);
+    /**
+     * Returns the holder at which the prefill of a part is in progress; empty when it has ended or was never started.
+     */
+    public synchronized OptionalLong prefillingHolder(long part) {
+        Long holder = prefillingHolders.get(part);
+        return holder == null ? OptionalLong.empty() : OptionalLong.of(holder);
     }
 
     private void apply(Placement placement) {
         if (placement.tokens() == 0) {
-            readers.put(placement.part(), placement.holder());
+            prefillingHolders.put(placement.part(), placement.holder());
             return;
         }
-        readers.remove(placement.part(), placement.holder());
-        long read = readTokens.merge(placement.holder(), (long) placement.tokens(), Long::sum);
-        Map<Long, Long> uses = readTokensAtUse.computeIfAbsent(placement.part(), part -> new LinkedHashMap<>());
+        prefillingHolders.remove(placement.part(), placement.holder());
+        long added = addedTokens.merge(placement.holder(), (long) placement.tokens(), Long::sum);
+        Map<Long, Long> uses = addedTokensAtUse.computeIfAbsent(placement.part(), part -> new LinkedHashMap<>());
         uses.remove(placement.holder());
-        uses.put(placement.holder(), read);
-        if (uses.size() > MAX_HOLDERS) {
+        uses.put(placement.holder(), added);
+        if (uses.size() > MAX_HOLDERS_PER_PART) {
             uses.remove(uses.keySet().iterator().next());
         }
     }
--- a/agatelane-core/src/main/java/io/agatelane/core/fleet/PrefillBacklog.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/fleet/PrefillBacklog.java
@@ -3,12 +3,12 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Prefill work that waits at an engine, by priority, in milliseconds. Immutable. */
+/** Expected prefill time, in milliseconds, of the requests queued at an engine, by priority. Immutable. */
 public final class PrefillBacklog {
-    /** Priorities of engines: 0 (first) to 9. */
+    /** Number of engine priorities: 0 (served first) to 9. */
     public static final int PRIORITIES = 10;
 
-    /** Nothing waits. */
+    /** A backlog without any queued work. */
     public static final PrefillBacklog EMPTY = new PrefillBacklog(new double[PRIORITIES]);
 
     private final double[] millis;
@@ -17,26 +17,26 @@
         this.millis = millis;
     }
 
-    /** A backlog from its figures; missing ones are 0. */
-    public static PrefillBacklog of(List<? extends Number> figures) {
-        if (figures.isEmpty()) {
+    /** Creates a backlog from milliseconds by priority; missing priorities count as 0. */
+    public static PrefillBacklog of(List<? extends Number> millisByPriority) {
+        if (millisByPriority.isEmpty()) {
             return EMPTY;
         }
         double[] millis = new double[PRIORITIES];
-        for (int priority = 0; priority < Math.min(PRIORITIES, figures.size()); priority++) {
-            millis[priority] = figures.get(priority).doubleValue();
+        for (int priority = 0; priority < Math.min(PRIORITIES, millisByPriority.size()); priority++) {
+            millis[priority] = millisByPriority.get(priority).doubleValue();
         }
         return new PrefillBacklog(millis);
     }
 
-    /** Adds work of one priority; a negative amount takes it away. */
+    /** Returns a copy with work added to one priority; a negative amount removes work. */
     public PrefillBacklog with(int priority, double addedMillis) {
         double[] changed = millis.clone();
         changed[priority] = Math.max(0, changed[priority] + addedMillis);
         return new PrefillBacklog(changed);
     }
 
-    /** The sum of two backlogs. */
+    /** Returns the sum of two backlogs. */
     public PrefillBacklog plus(PrefillBacklog other) {
         if (other == EMPTY) {
             return this;
@@ -48,17 +48,17 @@
         return new PrefillBacklog(sum);
     }
 
-    /** This backlog without the part that another one is of it. */
-    public PrefillBacklog minus(PrefillBacklog part) {
-        double[] rest = millis.clone();
+    /** Returns the difference of two backlogs, with no priority below 0. */
+    public PrefillBacklog minus(PrefillBacklog subtracted) {
+        double[] difference = millis.clone();
         for (int priority = 0; priority < PRIORITIES; priority++) {
-            rest[priority] = Math.max(0, rest[priority] - part.millis[priority]);
+            difference[priority] = Math.max(0, difference[priority] - subtracted.millis[priority]);
         }
-        return new PrefillBacklog(rest);
+        return new PrefillBacklog(difference);
     }
 
-    /** Work that runs before a new request of a priority. */
-    public double before(int priority) {
+    /** Milliseconds of work that is served before a new request of a priority. */
+    public double millisAhead(int priority) {
         double sum = 0;
         for (int i = 0; i <= priority; i++) {
             sum += millis[i];
@@ -66,20 +66,20 @@
         return sum;
     }
 
-    /** All work. */
-    public double total() {
-        return before(PRIORITIES - 1);
+    /** Milliseconds of work of all priorities. */
+    public double totalMillis() {
+        return millisAhead(PRIORITIES - 1);
     }
 
-    /** The figures, whole milliseconds, without zeros at the end. */
+    /** Returns whole milliseconds by priority, without trailing zeros. */
     public List<Integer> figures() {
-        List<Integer> figures = new ArrayList<>();
+        List<Integer> wholeMillis = new ArrayList<>();
         for (double value : millis) {
-            figures.add((int) Math.round(value));
+            wholeMillis.add((int) Math.round(value));
         }
-        while (!figures.isEmpty() && figures.get(figures.size() - 1) == 0) {
-            figures.remove(figures.size() - 1);
+        while (!wholeMillis.isEmpty() && wholeMillis.get(wholeMillis.size() - 1) == 0) {
+            wholeMillis.remove(wholeMillis.size() - 1);
         }
-        return figures;
+        return wholeMillis;
     }
 }
--- a/agatelane-core/src/main/java/io/agatelane/core/fleet/Prompt.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/fleet/Prompt.java
@@ -3,18 +3,18 @@
 import java.util.List;
 
 /**
- * What a caller says about a prompt.
+ * Structure and size of a prompt, as declared by its caller.
  *
- * @param parts shared parts first; the last one belongs to the request or its session
+ * @param parts shared parts first; the last one is specific to the request or its session
  * @param inputTokens size of the whole prompt
- * @param maxOutputTokens most tokens to generate
+ * @param maxOutputTokens maximum number of tokens to generate
  */
 public record Prompt(String model, List<PromptPart> parts, int inputTokens, int maxOutputTokens) {
     public Prompt {
         parts = List.copyOf(parts);
     }
 
-    /** Tokens of all parts but the last one. */
+    /** Returns the number of tokens in all parts except the last one. */
     public int sharedTokens() {
         return parts.stream()
                 .limit(Math.max(0, parts.size() - 1))
@@ -22,7 +22,7 @@
                 .sum();
     }
 
-    /** Identity of the longest shared prefix; empty when nothing is shared. */
+    /** Returns the id of the longest shared prefix; empty when no part is shared. */
     public String sharedPrefixId() {
         return parts.size() < 2 ? "" : parts.get(parts.size() - 2).id();
     }
--- a/agatelane-core/src/main/java/io/agatelane/core/fleet/PromptPart.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/fleet/PromptPart.java
@@ -1,4 +1,4 @@
 package io.agatelane.core.fleet;
 
-/** One part of a prompt, named by the caller. */
+/** One part of a prompt. Parts with the same id, which the caller assigns, have the same content. */
 public record PromptPart(String id, int tokens) {}
--- a/agatelane-core/src/main/java/io/agatelane/core/fleet/RequestKind.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/fleet/RequestKind.java
@@ -1,6 +1,6 @@
 package io.agatelane.core.fleet;
 
-/** Says what may be repeated when the outcome of an attempt is unknown. */
+/** Determines whether a request may be repeated when the outcome of an attempt is unknown. */
 public enum RequestKind {
     /** May run any number of times. */
     IDEMPOTENT {
@@ -24,6 +24,6 @@
         }
     };
 
-    /** Whether a request whose first run may have begun may be sent once more. */
+    /** Whether a request may be sent again when an earlier attempt may already have started to run. */
     public abstract boolean mayRunAgain(boolean resumable);
 }
--- a/agatelane-core/src/main/java/io/agatelane/core/fleet/Route.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/fleet/Route.java
@@ -3,13 +3,13 @@
 import java.util.List;
 
 /**
- * A rule that sends the requests of a host and a path prefix to services.
+ * Routing entry that distributes the requests for a host and a path prefix over services.
  *
  * @param host host in lower case, without port
  * @param pathPrefix begins and ends with a slash
- * @param maxUpstreams most upstreams that one request may be sent to
- * @param timeoutMillis longest time that a caller is kept waiting
- * @param latencyObjectiveMillis time within which an answer is fully useful
+ * @param maxUpstreams maximum number of upstreams that one request may be sent to
+ * @param timeoutMillis maximum time that a caller waits for a response
+ * @param latencyObjectiveMillis time within which a response has its full value
  * @param priority 0 is the most urgent
  * @param isPublic whether requests need no API key
  * @param resumable whether a broken stream may continue on another upstream
@@ -30,7 +30,7 @@
         services = List.copyOf(services);
     }
 
-    /** Whether a request whose first run may have begun may be sent once more. */
+    /** Whether a request may be sent again when an earlier attempt may already have started to run. */
     public boolean mayRunAgain() {
         return kind.mayRunAgain(resumable);
     }
@@ -38,14 +38,14 @@
     /**
      * Picks a service by weight.
      *
-     * @param unit a number from 0 (inclusive) to 1 (exclusive)
+     * @param fraction uniformly distributed random number from 0 (inclusive) to 1 (exclusive)
      */
-    public String serviceFor(double unit) {
+    public String serviceFor(double fraction) {
         int total = services.stream().mapToInt(WeightedService::weight).sum();
-        double left = unit * total;
+        double remaining = fraction * total;
         for (WeightedService candidate : services) {
-            left -= candidate.weight();
-            if (left < 0) {
+            remaining -= candidate.weight();
+            if (remaining < 0) {
                 return candidate.service();
             }
         }
--- a/agatelane-core/src/main/java/io/agatelane/core/fleet/UpstreamEstimate.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/fleet/UpstreamEstimate.java
@@ -1,16 +1,16 @@
 package io.agatelane.core.fleet;
 
 /**
- * The load of an upstream at one moment.
+ * Estimated load of an upstream at one moment.
  *
- * @param requests requests of all routers, running or waiting
- * @param backlog prefill work of requests that have no answer yet
- * @param speedPercent how long work takes; 100 is as usual
- * @param oldestUnansweredMillis age of the oldest request without an answer
- * @param failures recent failures, faded with time
+ * @param requests number of requests of all routers, running or queued
+ * @param backlog prefill work of requests whose response has not started yet
+ * @param durationPercent duration of work relative to its normal duration; 100 is normal, 200 takes twice as long
+ * @param oldestUnansweredMillis age of the oldest request whose response has not started yet
+ * @param failures exponentially decayed number of recent failures
  */
 public record UpstreamEstimate(
-        double requests, PrefillBacklog backlog, double speedPercent, long oldestUnansweredMillis, double failures) {
-    /** Nothing is known of the upstream. */
+        double requests, PrefillBacklog backlog, double durationPercent, long oldestUnansweredMillis, double failures) {
+    /** The estimate for an upstream without any observed load. */
     public static final UpstreamEstimate IDLE = new UpstreamEstimate(0, PrefillBacklog.EMPTY, 100, 0, 0);
 }
--- a/agatelane-core/src/main/java/io/agatelane/core/fleet/WeightedService.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/fleet/WeightedService.java
@@ -1,7 +1,7 @@
 package io.agatelane.core.fleet;
 
 /**
- * One destination of a route.
+ * A service that receives a share of the requests of a route.
  *
  * @param weight relative share of the route's requests; 0 or more
  */
--- a/agatelane-core/src/main/java/io/agatelane/core/fleet/command/CrashSuspects.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/fleet/command/CrashSuspects.java
@@ -10,17 +10,17 @@
 import java.util.Set;
 
 /**
- * Requests that were running when upstreams broke off, as seen by all routers. Bounded and thread-safe.
+ * Requests that were running on upstreams when these crashed, as seen by all routers. Bounded and thread-safe.
  *
- * <p>One such request takes an upstream away for seconds each time it runs. An innocent request that was running on a
- * crashing upstream is cleared by its first sound answer.
+ * <p>A request that crashes upstreams makes one unavailable for seconds each time it runs. A harmless request that
+ * happened to run on a crashing upstream is cleared by its first successful response.
  */
 public final class CrashSuspects {
-    /** Breaks after which a request is not run any more: two may be chance, and each costs an upstream. */
+    /** Crashes after which a request is not run any more: two may be coincidence, and each one costs an upstream. */
     public static final int QUARANTINE_CRASHES = 3;
 
-    /** How long a request is remembered after its last break, in milliseconds: callers have given up by then. */
-    public static final long MEMORY_MILLIS = 60_000;
+    /** Time for which a request is stored after its last crash: callers have stopped retrying by then. */
+    public static final long RETENTION_MILLIS = 60_000;
 
     private static final int MAX_ENTRIES = 2_000;
 
@@ -37,64 +37,68 @@
     private volatile boolean empty = true;
 
     private static final class Suspect {
-        private final Map<Long, Integer> counts = new HashMap<>();
-        private long untilMillis;
+        private final Map<Long, Integer> crashesByReporter = new HashMap<>();
+        private long expiresMillis;
 
-        private int total() {
-            return counts.values().stream().mapToInt(Integer::intValue).sum();
+        private int totalCrashes() {
+            return crashesByReporter.values().stream()
+                    .mapToInt(Integer::intValue)
+                    .sum();
         }
     }
 
     /**
-     * Creates an empty memory.
+     * Creates an empty table.
      *
-     * @param self hash of this router's name
+     * @param self hash of this router's name, to tell its own reports from those of others
      */
     public CrashSuspects(long self) {
         this.self = self;
     }
 
-    /** Whether nothing is remembered, so that no fingerprint is needed. */
+    /** Whether the table is empty, so that a request's fingerprint need not be computed. */
     public boolean isEmpty() {
         return empty;
     }
 
-    /** Records that an upstream broke off while it ran a request. */
+    /** Records that an upstream crashed while it ran a request. */
     public synchronized void crashed(long fingerprint, long nowMillis) {
         Suspect suspect = suspect(fingerprint, nowMillis);
-        suspect.counts.merge(self, 1, Integer::sum);
+        suspect.crashesByReporter.merge(self, 1, Integer::sum);
         unsent.add(fingerprint);
     }
 
-    /** Takes over what a router has seen. */
+    /** Merges the report of another router; reports of this router that come back are ignored. */
     public synchronized void heard(CrashReport report, long nowMillis) {
         if (report.reporter() != self) {
-            suspect(report.fingerprint(), nowMillis).counts.merge(report.reporter(), report.count(), Math::max);
+            suspect(report.fingerprint(), nowMillis)
+                    .crashesByReporter
+                    .merge(report.reporter(), report.count(), Math::max);
         }
     }
 
-    /** Records a sound answer. */
+    /** Records a successful response, which clears the request. */
     public synchronized void served(long fingerprint) {
         suspects.remove(fingerprint);
         unsent.remove(fingerprint);
         empty = suspects.isEmpty();
     }
 
-    /** Whether a request has taken enough upstreams down. */
+    /** Whether a request has crashed so many upstreams that it must not be run any more. */
     public synchronized boolean isQuarantined(long fingerprint, long nowMillis) {
-        suspects.values().removeIf(suspect -> suspect.untilMillis <= nowMillis);
+        suspects.values().removeIf(suspect -> suspect.expiresMillis <= nowMillis);
         empty = suspects.isEmpty();
         Suspect suspect = suspects.get(fingerprint);
-        return suspect != null && suspect.total() >= QUARANTINE_CRASHES;
+        return suspect != null && suspect.totalCrashes() >= QUARANTINE_CRASHES;
     }
 
-    /** Takes what the other routers were not told yet. */
+    /** Removes and returns the reports that have not been sent to the other routers yet. */
     public synchronized List<CrashReport> takeUnsent() {
         List<CrashReport> reports = new ArrayList<>();
         for (long fingerprint : unsent) {
             Suspect suspect = suspects.get(fingerprint);
             if (suspect != null) {
-                reports.add(new CrashReport(fingerprint, self, suspect.counts.get(self)));
+                reports.add(new CrashReport(fingerprint, self, suspect.crashesByReporter.get(self)));
             }
         }
         unsent.clear();
@@ -103,7 +107,7 @@
 
     private Suspect suspect(long fingerprint, long nowMillis) {
         Suspect suspect = suspects.computeIfAbsent(fingerprint, unknown -> new Suspect());
-        suspect.untilMillis = nowMillis + MEMORY_MILLIS;
+        suspect.expiresMillis = nowMillis + RETENTION_MILLIS;
         empty = false;
         return suspect;
     }
--- a/agatelane-core/src/main/java/io/agatelane/core/fleet/command/PeerLoads.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/fleet/command/PeerLoads.java
@@ -9,25 +9,28 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The newest digests of the other routers, summed up for each upstream. Thread-safe. */
+/** Newest load digests of the other routers, summed per upstream. Thread-safe. */
 public final class PeerLoads {
-    // A router that was not heard for this long is gone or cut off; what it had in flight says nothing any more.
-    private static final long EXPIRY_MILLIS = 3_000;
-    // Some packets; a relay that has been silent for longer is replaced by its members.
+    // A router without a digest for this long has stopped or is cut off; its last loads no longer mean anything.
+    private static final long ROUTER_EXPIRY_MILLIS = 3_000;
+    // Time for a few packets; a relay that has sent nothing for longer is replaced by the routers that it represents.
     private static final long RELAY_EXPIRY_MILLIS = 700;
-    // Sums are made at most this often; digests are older than that anyway.
+    // Minimum time between two summations; digests are older than that anyway.
     private static final long REFRESH_MILLIS = 40;
 
     private final Map<String, Digest> digests = new HashMap<>();
     private Map<Long, PeerTotal> totals = Map.of();
-    private long summedMillis = Long.MIN_VALUE;
+    private long lastSumMillis = Long.MIN_VALUE;
     private boolean changed;
 
-    /** Whom a digest speaks for. */
+    /** The routers whose load a digest contains. */
     public enum Source {
         /** One router. */
-        ROUTER(EXPIRY_MILLIS),
-        /** Several routers, summed up by a relay. When another relay takes over, both speak for the same for a while. */
+        ROUTER(ROUTER_EXPIRY_MILLIS),
+        /**
+         * The sum over several routers, made by a relay. When another relay takes over, the digests of both contain the
+         * same routers for a while.
+         */
         RELAY(RELAY_EXPIRY_MILLIS);
 
         private final long expiryMillis;
@@ -39,12 +42,12 @@
 
     private record Digest(Source source, long incarnation, long sequence, long receivedMillis, List<PeerLoad> loads) {}
 
-    /** Takes a digest of one router unless a newer one is known. */
+    /** Stores a digest of one router unless a newer one of the same router is present. */
     public void update(String vm, long incarnation, long sequence, List<PeerLoad> loads, long nowMillis) {
         update(vm, Source.ROUTER, incarnation, sequence, loads, nowMillis);
     }
 
-    /** Takes a digest unless a newer one of the router is known. */
+    /** Stores a digest unless a newer one of the same sender is present. */
     public synchronized void update(
             String vm, Source source, long incarnation, long sequence, List<PeerLoad> loads, long nowMillis) {
         Digest known = digests.get(vm);
@@ -57,17 +60,18 @@
         }
     }
 
-    /** Drops what a router has said, because another one speaks for the same requests now. */
+    /** Removes the digest of a router whose requests are now contained in the digest of another one. */
     public synchronized void forget(String vm) {
         changed |= digests.remove(vm) != null;
     }
 
     /**
-     * What a relay passes on: for each upstream the sum, and a second entry without load for the second longest silence,
-     * so that receivers still see whether two routers agree.
+     * Returns the loads that a relay forwards: for each upstream the sum, and a second entry without load that holds
+     * the second longest unanswered time, so that receivers still see whether two routers observe an unresponsive
+     * upstream.
      *
-     * @param sources whose digests to sum up
-     * @param own what this router has in flight itself
+     * @param sources kinds of digests to include
+     * @param own loads of this router's own requests
      */
     public synchronized List<PeerLoad> merged(Set<Source> sources, List<PeerLoad> own, long nowMillis) {
         expire(nowMillis);
@@ -79,23 +83,23 @@
         List<PeerLoad> merged = new ArrayList<>();
         byUpstream(all).forEach((upstream, loads) -> {
             Sum sum = Sum.of(loads);
-            merged.add(new PeerLoad(upstream, sum.inFlight, sum.backlog, sum.longestMillis, sum.failures));
-            if (sum.secondMillis > 0) {
-                merged.add(new PeerLoad(upstream, 0, PrefillBacklog.EMPTY, sum.secondMillis, 0));
+            merged.add(new PeerLoad(upstream, sum.inFlight, sum.backlog, sum.longestUnansweredMillis, sum.failures));
+            if (sum.secondLongestUnansweredMillis > 0) {
+                merged.add(new PeerLoad(upstream, 0, PrefillBacklog.EMPTY, sum.secondLongestUnansweredMillis, 0));
             }
         });
         return merged;
     }
 
-    /** The sum over all routers for an upstream. */
+    /** Returns the sum over all other routers for an upstream, at most 40 ms old. */
     public synchronized PeerTotal total(long upstream, long nowMillis) {
-        if (summedMillis == Long.MIN_VALUE || nowMillis - summedMillis >= REFRESH_MILLIS) {
+        if (lastSumMillis == Long.MIN_VALUE || nowMillis - lastSumMillis >= REFRESH_MILLIS) {
             expire(nowMillis);
             if (changed) {
                 totals = sum();
                 changed = false;
             }
-            summedMillis = nowMillis;
+            lastSumMillis = nowMillis;
         }
         return totals.getOrDefault(upstream, PeerTotal.NONE);
     }
@@ -109,7 +113,9 @@
         Map<Long, PeerTotal> result = new HashMap<>();
         byUpstream(digests.values().stream().map(Digest::loads).toList()).forEach((upstream, loads) -> {
             Sum sum = Sum.of(loads);
-            result.put(upstream, new PeerTotal(sum.inFlight, sum.backlog, sum.secondMillis, sum.failures));
+            result.put(
+                    upstream,
+                    new PeerTotal(sum.inFlight, sum.backlog, sum.secondLongestUnansweredMillis, sum.failures));
         });
         return result;
     }
@@ -125,8 +131,8 @@
     private static final class Sum {
         private int inFlight;
         private PrefillBacklog backlog = PrefillBacklog.EMPTY;
-        private int longestMillis;
-        private int secondMillis;
+        private int longestUnansweredMillis;
+        private int secondLongestUnansweredMillis;
         private double failures;
 
         private static Sum of(List<PeerLoad> loads) {
@@ -135,8 +141,9 @@
                 sum.inFlight += load.inFlight();
                 sum.backlog = sum.backlog.plus(load.backlog());
                 sum.failures += load.failures();
-                sum.secondMillis = Math.max(sum.secondMillis, Math.min(sum.longestMillis, load.silentMillis()));
-                sum.longestMillis = Math.max(sum.longestMillis, load.silentMillis());
+                sum.secondLongestUnansweredMillis = Math.max(
+                        sum.secondLongestUnansweredMillis, Math.min(sum.longestUnansweredMillis, load.silentMillis()));
+                sum.longestUnansweredMillis = Math.max(sum.longestUnansweredMillis, load.silentMillis());
             }
             return sum;
         }
--- a/agatelane-core/src/main/java/io/agatelane/core/fleet/command/UpstreamLoad.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/fleet/command/UpstreamLoad.java
@@ -8,89 +8,96 @@
 import java.util.Map;
 
 /**
- * What one router has seen of one start of an upstream. Thread-safe.
+ * Load of one incarnation of an upstream, as observed by this router. Thread-safe.
  *
- * <p>Load reports ride on answers and are old at once; what this router has in flight itself is exact. The report gives
- * the part of the other routers, which fades when no newer report comes.
+ * <p>Load reports are attached to responses and soon outdated, while the number of this router's own requests is exact.
+ * The requests of the other routers are derived from the last report and decay until a newer report arrives.
  */
 public final class UpstreamLoad {
-    // The other routers' part of a report halves in this time: about twice the time between reports on a busy service.
+    // Half-life of the other routers' requests in a report: about twice the time between reports on a busy service.
     private static final double OTHERS_HALF_LIFE_MILLIS = 500;
-    // Failures count half after this time, so that a recovered upstream gets work again within seconds.
+    // Half-life of failures; short, so that a recovered upstream receives requests again within seconds.
     private static final double FAILURE_HALF_LIFE_MILLIS = 2_000;
-    private static final double SPEED_AS_USUAL_PERCENT = 100;
+    private static final double NORMAL_DURATION_PERCENT = 100;
 
     private final Map<Object, Long> unansweredSinceMillis = new HashMap<>();
     private int inFlight;
     private PrefillBacklog backlog = PrefillBacklog.EMPTY;
-    private double others;
-    private double speedPercent = SPEED_AS_USUAL_PERCENT;
-    private long reportedMillis;
+    private double otherRequests;
+    private double durationPercent = NORMAL_DURATION_PERCENT;
+    private long lastReportMillis;
     private double failures;
-    private long failedMillis;
+    private long failuresUpdatedMillis;
 
-    /** Records that a request is about to be sent. */
-    public synchronized void sent(Object call, int priority, double prefillMillis, long nowMillis) {
+    /** Counts a request that is about to be sent. */
+    public synchronized void sent(Object request, int priority, double prefillMillis, long nowMillis) {
         inFlight++;
         backlog = backlog.with(priority, prefillMillis);
-        unansweredSinceMillis.put(call, nowMillis);
+        unansweredSinceMillis.put(request, nowMillis);
     }
 
-    /** Records the head of an answer. */
-    public synchronized void answered(Object call, int priority, double prefillMillis) {
-        if (unansweredSinceMillis.remove(call) != null) {
+    /** Records that the response to a request has started; further calls for the same request have no effect. */
+    public synchronized void answered(Object request, int priority, double prefillMillis) {
+        if (unansweredSinceMillis.remove(request) != null) {
             backlog = backlog.with(priority, -prefillMillis);
         }
     }
 
-    /** Records the end of a request that was sent. */
-    public synchronized void ended(Object call, int priority, double prefillMillis) {
-        answered(call, priority, prefillMillis);
+    /** Records the end of a request that was counted as sent. */
+    public synchronized void ended(Object request, int priority, double prefillMillis) {
+        answered(request, priority, prefillMillis);
         inFlight--;
     }
 
-    /** Records a load report. */
-    public synchronized void reported(int running, int waiting, double newSpeedPercent, long nowMillis) {
-        others = Math.max(0, running + waiting - inFlight);
-        speedPercent = newSpeedPercent;
-        reportedMillis = nowMillis;
+    /**
+     * Records a load report of the upstream.
+     *
+     * @param newDurationPercent duration of work relative to its normal duration; 100 is normal
+     */
+    public synchronized void reported(int running, int waiting, double newDurationPercent, long nowMillis) {
+        otherRequests = Math.max(0, running + waiting - inFlight);
+        durationPercent = newDurationPercent;
+        lastReportMillis = nowMillis;
     }
 
-    /** Records a failure of the upstream itself. */
+    /** Records a failure caused by the upstream itself. */
     public synchronized void failed(long nowMillis) {
         failures = failures(nowMillis) + 1;
-        failedMillis = nowMillis;
+        failuresUpdatedMillis = nowMillis;
     }
 
-    /** Records a sound answer. */
+    /** Records a successful response, which halves the number of recent failures. */
     public synchronized void succeeded(long nowMillis) {
         failures = failures(nowMillis) / 2;
-        failedMillis = nowMillis;
+        failuresUpdatedMillis = nowMillis;
     }
 
-    /** An immutable copy for one decision, together with what the other routers say. */
+    /**
+     * Returns an immutable estimate for one decision, which includes the loads that the other routers have reported.
+     */
     public synchronized UpstreamEstimate estimate(PeerTotal peers, long nowMillis) {
-        double reportedOthers = others * halved(nowMillis - reportedMillis, OTHERS_HALF_LIFE_MILLIS);
+        double decayedOtherRequests =
+                otherRequests * decayFactor(nowMillis - lastReportMillis, OTHERS_HALF_LIFE_MILLIS);
         return new UpstreamEstimate(
-                inFlight + Math.max(reportedOthers, peers.inFlight()),
+                inFlight + Math.max(decayedOtherRequests, peers.inFlight()),
                 backlog.plus(peers.backlog()),
-                speed(nowMillis),
-                Math.max(silentMillis(nowMillis), peers.silentMillis()),
+                decayedDurationPercent(nowMillis),
+                Math.max(oldestUnansweredMillis(nowMillis), peers.confirmedUnansweredMillis()),
                 failures(nowMillis) + peers.failures());
     }
 
-    /** What the other routers are told. */
+    /** Returns the load to announce to the other routers. */
     public synchronized PeerLoad digest(long upstream, long nowMillis) {
-        return new PeerLoad(upstream, inFlight, backlog, (int) silentMillis(nowMillis), failures(nowMillis));
+        return new PeerLoad(upstream, inFlight, backlog, (int) oldestUnansweredMillis(nowMillis), failures(nowMillis));
     }
 
-    // A slow moment passes; without a newer report the upstream counts as usual again.
-    private double speed(long nowMillis) {
-        double excess = speedPercent - SPEED_AS_USUAL_PERCENT;
-        return SPEED_AS_USUAL_PERCENT + excess * halved(nowMillis - reportedMillis, OTHERS_HALF_LIFE_MILLIS);
+    // Slowness is often temporary: without a newer report the value returns to normal.
+    private double decayedDurationPercent(long nowMillis) {
+        double excess = durationPercent - NORMAL_DURATION_PERCENT;
+        return NORMAL_DURATION_PERCENT + excess * decayFactor(nowMillis - lastReportMillis, OTHERS_HALF_LIFE_MILLIS);
     }
 
-    private long silentMillis(long nowMillis) {
+    private long oldestUnansweredMillis(long nowMillis) {
         return unansweredSinceMillis.values().stream()
                 .mapToLong(since -> nowMillis - since)
                 .max()
@@ -98,10 +105,10 @@
     }
 
     private double failures(long nowMillis) {
-        return failures * halved(nowMillis - failedMillis, FAILURE_HALF_LIFE_MILLIS);
+        return failures * decayFactor(nowMillis - failuresUpdatedMillis, FAILURE_HALF_LIFE_MILLIS);
     }
 
-    private static double halved(long ageMillis, double halfLifeMillis) {
+    private static double decayFactor(long ageMillis, double halfLifeMillis) {
         return Math.pow(0.5, ageMillis / halfLifeMillis);
     }
 }
--- a/agatelane-core/src/main/java/io/agatelane/core/fleet/command/WindowedRetryBudget.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/fleet/command/WindowedRetryBudget.java
@@ -4,16 +4,17 @@
 import java.util.Deque;
 
 /**
- * Bounds repeated sends to one service in a sliding window. Thread-safe.
+ * Limits retries to one service in a sliding window. Thread-safe.
  *
- * <p>All routers share one bound. Each spends a share of its own requests and a part of the slack besides, so that the sum
- * stays under the bound without any exchange.
+ * <p>One limit holds for all routers together. Each router may spend a fixed ratio of its own requests plus its share
+ * of the slack, so that the sum stays within the limit without communication.
  */
 public final class WindowedRetryBudget {
-    // Routers that restart have an empty window, so the parts of the slack add up to half of it at most.
-    private static final int SPARE_FACTOR = 2;
-    // A router that has just started knows few others; the part of a fleet of ten is small enough for it.
-    private static final int MIN_ROUTERS = 10;
+    // A restarted router has an empty window and may spend its share again, so the shares add up to half of the slack
+    // at most.
+    private static final int SLACK_RESERVE_FACTOR = 2;
+    // A router that has just started knows few others; it is limited to the share of a deployment with ten routers.
+    private static final int MIN_ASSUMED_ROUTERS = 10;
 
     private final double ratio;
     private final int slack;
@@ -24,8 +25,8 @@
     /**
      * Creates an empty window.
      *
-     * @param ratio repeats allowed for each request of the window
-     * @param slack repeats that all routers together may send besides
+     * @param ratio retries allowed per request in the window
+     * @param slack additional retries that all routers together may send in the window
      */
     public WindowedRetryBudget(double ratio, int slack, long windowMillis) {
         this.ratio = ratio;
@@ -33,34 +34,34 @@
         this.windowMillis = windowMillis;
     }
 
-    /** Records the first send of a request. */
+    /** Records the first attempt of a request. */
     public synchronized void recordRequest(long nowMillis) {
         requestsMillis.addLast(nowMillis);
-        forget(nowMillis);
+        dropExpired(nowMillis);
     }
 
     /**
-     * Takes one repeated send; false when the budget is used up.
+     * Takes one retry from the budget; returns false when the budget is exhausted.
      *
      * @param routers routers that share the slack, as far as known
      */
     public synchronized boolean tryTake(long nowMillis, int routers) {
-        forget(nowMillis);
-        int part = slack / (SPARE_FACTOR * Math.max(MIN_ROUTERS, routers));
-        if (retriesMillis.size() + 1 > ratio * requestsMillis.size() + part) {
+        dropExpired(nowMillis);
+        int ownSlack = slack / (SLACK_RESERVE_FACTOR * Math.max(MIN_ASSUMED_ROUTERS, routers));
+        if (retriesMillis.size() + 1 > ratio * requestsMillis.size() + ownSlack) {
             return false;
         }
         retriesMillis.addLast(nowMillis);
         return true;
     }
 
-    private void forget(long nowMillis) {
-        drop(requestsMillis, nowMillis - windowMillis);
-        drop(retriesMillis, nowMillis - windowMillis);
+    private void dropExpired(long nowMillis) {
+        dropUntil(requestsMillis, nowMillis - windowMillis);
+        dropUntil(retriesMillis, nowMillis - windowMillis);
     }
 
-    private static void drop(Deque<Long> times, long untilMillis) {
-        while (!times.isEmpty() && times.peekFirst() <= untilMillis) {
+    private static void dropUntil(Deque<Long> times, long endMillis) {
+        while (!times.isEmpty() && times.peekFirst() <= endMillis) {
             times.removeFirst();
         }
     }
--- a/agatelane-core/src/main/java/io/agatelane/core/fleet/command/package-info.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/fleet/command/package-info.java
@@ -1,2 +1,2 @@
-/** State that changes with requests and orders: load of upstreams, retry budget, roll-out of weights. */
+/** Mutable state of a router: load of upstreams, loads reported by peers, crash reports, retry budget. */
 package io.agatelane.core.fleet.command;
--- a/agatelane-core/src/main/java/io/agatelane/core/fleet/query/Candidate.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/fleet/query/Candidate.java
@@ -4,8 +4,9 @@
 import io.agatelane.core.fleet.UpstreamEstimate;
 
 /**
- * An upstream that a request could go to.
+ * An upstream that a request could be sent to, with its estimated load.
  *
- * @param weightsVersion version believed to be loaded for the request's model; 0 when the request names no model
+ * @param weightsVersion version that the upstream probably has loaded for the request's model; 0 when the request has
+ *     no model
  */
 public record Candidate(FleetUpstream upstream, UpstreamEstimate estimate, long weightsVersion) {}
--- a/agatelane-core/src/main/java/io/agatelane/core/fleet/query/CandidateSample.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/fleet/query/CandidateSample.java
@@ -10,67 +10,71 @@
 import java.util.stream.Stream;
 
 /**
- * The few upstreams among which a router of a large fleet chooses.
+ * Selects a few candidate upstreams per request in a deployment with many routers.
  *
- * <p>Load: many routers that see the same loads, up to half a second old. If each picks the emptiest of all upstreams,
- * they all pick the same one. With two or three drawn for each request, no upstream gets more than a small part of what
- * arrives until the loads are told again, and the emptier one of a draw still wins. Requests with a long prefix draw by
- * the prefix, so that it is held by few engines and found there.
+ * <p>Many routers decide on the same load data, which is up to half a second old. If each of them picked the least
+ * loaded of all upstreams, all would pick the same one. With a random sample of two or three upstreams per request, no
+ * upstream receives more than a small share of the requests that arrive until the loads are announced again, and the
+ * less loaded upstream of the sample is still preferred. For requests with a long prefix the sample depends only on the
+ * prefix, so that few engines cache the prefix and later requests are sent to them.
  */
 public final class CandidateSample {
-    /** Routers up to which each request is compared over all upstreams: their loads are fresh and few choose at once. */
+    /**
+     * Maximum number of routers for which every request is compared over all upstreams: with so few routers the load
+     * data is recent and few decisions are made at the same time.
+     */
     public static final int SMALL_FLEET = 13;
 
-    // Drawn in the router's zone and over all zones, and among upstreams with older weights.
-    private static final int NEAR = 2;
-    private static final int ANYWHERE = 3;
-    private static final int OLDER = 1;
-    // A prefix is held by few engines, which need room for one another's queues.
-    private static final int PREFIX_HOMES = 5;
-    private static final int PREFIX_OLDER = 2;
-    // Upstreams that fail, or have been silent for longer than an answer on a crest takes, are drawn last.
+    // Sample sizes: the router's zone, all zones, and upstreams with older weights.
+    private static final int SAME_ZONE_CANDIDATES = 2;
+    private static final int ALL_ZONES_CANDIDATES = 3;
+    private static final int OLDER_CANDIDATES = 1;
+    // Few engines cache a prefix, but enough that one can take over the requests that are queued at another.
+    private static final int PREFIX_CANDIDATES = 5;
+    private static final int OLDER_PREFIX_CANDIDATES = 2;
+    // Upstreams that fail, or that have not responded for longer than a response takes at peak load, are sampled last.
     private static final double SUSPICIOUS_FAILURES = 0.5;
-    private static final long SUSPICIOUS_SILENCE_MILLIS = 2_000;
+    private static final long SUSPICIOUS_UNANSWERED_MILLIS = 2_000;
 
     private final String zone;
     private final long newestVersion;
 
     /**
-     * Creates a rule for drawing.
+     * Creates a sampler.
      *
-     * @param zone of the router
-     * @param newestVersion of the weights; 0 for requests without a prompt
+     * @param zone availability zone of this router
+     * @param newestVersion newest requested version of the weights; 0 for requests without a prompt
      */
     public CandidateSample(String zone, long newestVersion) {
         this.zone = zone;
         this.newestVersion = newestVersion;
     }
 
-    /** Draws for a request that may run anywhere; the same id draws the same upstreams. */
+    /** Returns the candidates of a request without a long prefix; the same id selects the same upstreams. */
     public List<Candidate> forRequest(List<Candidate> all, String requestId) {
         List<Candidate> ranked = ranked(all, requestId);
-        Set<Candidate> drawn = new LinkedHashSet<>();
+        Set<Candidate> sampled = new LinkedHashSet<>();
         newest(ranked)
                 .filter(candidate -> candidate.upstream().zone().equals(zone))
-                .limit(NEAR)
-                .forEach(drawn::add);
-        newest(ranked).limit(ANYWHERE).forEach(drawn::add);
-        older(ranked).limit(OLDER).forEach(drawn::add);
-        return List.copyOf(drawn);
+                .limit(SAME_ZONE_CANDIDATES)
+                .forEach(sampled::add);
+        newest(ranked).limit(ALL_ZONES_CANDIDATES).forEach(sampled::add);
+        older(ranked).limit(OLDER_CANDIDATES).forEach(sampled::add);
+        return List.copyOf(sampled);
     }
 
     /**
-     * Draws for a request with a long prefix; the same prefix draws the same engines at all routers.
+     * Returns the candidates of a request with a long prefix; the same prefix selects the same engines on all routers.
      *
-     * @param known whether an engine has or reads the prefix; it is always among the drawn
+     * @param hasPrefix whether an engine has the prefix or is prefilling it; such engines are always candidates
      */
-    public List<Candidate> forPrefix(List<Candidate> all, String prefixId, Predicate<Candidate> known) {
+    public List<Candidate> forPrefix(List<Candidate> all, String prefixId, Predicate<Candidate> hasPrefix) {
         List<Candidate> ranked = ranked(all, prefixId);
-        Set<Candidate> drawn = new LinkedHashSet<>();
-        ranked.stream().filter(known).forEach(drawn::add);
-        newest(ranked).limit(PREFIX_HOMES).forEach(drawn::add);
-        older(ranked).limit(PREFIX_OLDER).forEach(drawn::add);
-        return List.copyOf(drawn);
+        Set<Candidate> sampled = new LinkedHashSet<>();
+        ranked.stream().filter(hasPrefix).forEach(sampled::add);
+        newest(ranked).limit(PREFIX_CANDIDATES).forEach(sampled::add);
+        older(ranked).limit(OLDER_PREFIX_CANDIDATES).forEach(sampled::add);
+        return List.copyOf(sampled);
     }
 
     private static List<Candidate> ranked(List<Candidate> all, String seed) {
@@ -84,7 +88,7 @@
 
     private static boolean isSuspicious(Candidate candidate) {
         return candidate.estimate().failures() > SUSPICIOUS_FAILURES
-                || candidate.estimate().oldestUnansweredMillis() > SUSPICIOUS_SILENCE_MILLIS;
+                || candidate.estimate().oldestUnansweredMillis() > SUSPICIOUS_UNANSWERED_MILLIS;
     }
 
     private Stream<Candidate> newest(List<Candidate> ranked) {
--- a/agatelane-core/src/main/java/io/agatelane/core/fleet/query/Choice.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/fleet/query/Choice.java
@@ -3,12 +3,13 @@
 import java.util.Optional;
 
 /**
- * Where a request goes.
+ * The upstream chosen for a request, with the expected times of its response.
  *
- * @param expectedMillis expected time to the first byte of the answer
- * @param queueMillis part of it that passes before the upstream begins with the request
- * @param prefillMillis part of it that the upstream spends on reading the prompt
- * @param cacheSource address to copy shared parts from; empty when the chosen engine has them or nobody does
+ * @param expectedMillis expected time to the first byte of the response
+ * @param queueMillis part of the expected time before the upstream starts to process the request
+ * @param prefillMillis part of the expected time that the upstream spends on the prefill of the prompt
+ * @param cacheSource address to copy the shared prompt parts from; empty when the chosen engine has them or no engine
+ *     or store does
  */
 public record Choice(
         Candidate candidate,
--- a/agatelane-core/src/main/java/io/agatelane/core/fleet/query/ChoiceSettings.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/fleet/query/ChoiceSettings.java
@@ -1,11 +1,11 @@
 package io.agatelane.core.fleet.query;
 
 /**
- * Weights of the choice of an upstream, all in milliseconds to the first byte.
+ * Settings for the choice of an upstream.
  *
  * @param zone availability zone of this router
- * @param crossZoneMillis preference for an upstream in the own zone: a round trip between zones plus the price of the
- *     bytes
- * @param prefillTokensPerMilli prompt tokens that an engine reads in a millisecond
+ * @param crossZoneMillis cost of an upstream in another zone, as milliseconds to the first byte: a round trip between
+ *     zones plus the price of the bytes
+ * @param prefillTokensPerMilli prompt tokens that an engine prefills per millisecond
  */
 public record ChoiceSettings(String zone, double crossZoneMillis, double prefillTokensPerMilli) {}
--- a/agatelane-core/src/main/java/io/agatelane/core/fleet/query/EnginePriority.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/fleet/query/EnginePriority.java
@@ -5,22 +5,22 @@
 import java.util.OptionalInt;
 
 /**
- * The order in which engines admit requests.
+ * Computes the priority with which engines admit requests.
  *
- * <p>Answers head-of-line blocking: a short prompt that fits into one piece of prefill goes ahead of long ones of the
- * same rank, which it delays by some milliseconds; behind them it would wait for hundreds.
+ * <p>Prevents head-of-line blocking: a short prompt that fits into one prefill chunk is admitted before long prompts of
+ * the same priority. It delays those by a few milliseconds; behind them it would wait for hundreds.
  */
 public final class EnginePriority {
-    // Engines read prompts in pieces of this size.
+    // Engines prefill prompts in chunks of this size.
     private static final int SHORT_PROMPT_TOKENS = 1_024;
     private static final int RANKS_PER_PRIORITY = 2;
 
     private EnginePriority() {}
 
     /**
-     * The priority to state, 0 (first) to 9.
+     * Returns the priority to send to the engine, 0 (first) to 9.
      *
-     * @param accountPriority goes before the route's
+     * @param accountPriority overrides the route's priority
      */
     public static int of(OptionalInt accountPriority, int routePriority, Prompt prompt) {
         int base = accountPriority.orElse(routePriority);
--- a/agatelane-core/src/main/java/io/agatelane/core/fleet/query/EventFramer.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/fleet/query/EventFramer.java
@@ -5,20 +5,21 @@
 import java.util.Optional;
 
 /**
- * Cuts a stream of server-sent events at the ends of events, so that a stream can go on elsewhere after a whole one.
+ * Splits a stream of server-sent events after complete events, so that another upstream can continue the stream after
+ * one.
  *
  * <p>Not thread-safe.
  */
 public final class EventFramer {
     private static final String ID_FIELD = "id:";
 
-    private static final byte[] NOTHING = new byte[0];
+    private static final byte[] NO_BYTES = new byte[0];
 
-    private byte[] pending = NOTHING;
+    private byte[] pending = NO_BYTES;
     private String lastEventId;
     private boolean lineEmpty = true;
 
-    /** Takes bytes of the stream and returns the whole events that they complete. */
+    /** Adds bytes of the stream and returns the complete events up to now; an incomplete event is buffered. */
     public byte[] append(byte[] bytes) {
         int end = 0;
         for (int i = 0; i < bytes.length; i++) {
@@ -34,7 +35,7 @@
         byte[] all = joined(pending, bytes);
         if (end == 0) {
             pending = all;
-            return NOTHING;
+            return NO_BYTES;
         }
         int eventsLength = pending.length + end;
         byte[] events = Arrays.copyOf(all, eventsLength);
@@ -49,20 +50,20 @@
         return all;
     }
 
-    /** Takes what is left after the end of a complete stream. */
+    /** Removes and returns the buffered bytes; to be called at the end of a complete stream. */
     public byte[] rest() {
         byte[] bytes = pending;
-        pending = NOTHING;
+        pending = NO_BYTES;
         return bytes;
     }
 
-    /** Forgets an event that was cut off. */
+    /** Drops the buffered part of an event whose stream broke. */
     public void dropPartialEvent() {
-        pending = NOTHING;
+        pending = NO_BYTES;
         lineEmpty = true;
     }
 
-    /** Id of the last whole event. */
+    /** Returns the id of the last complete event. */
     public Optional<String> lastEventId() {
         return Optional.ofNullable(lastEventId);
     }
--- a/agatelane-core/src/main/java/io/agatelane/core/fleet/query/PromptCache.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/fleet/query/PromptCache.java
@@ -17,19 +17,20 @@
 import java.util.Set;
 
 /**
- * Where the shared parts of one prompt are.
+ * Locates the engines and the store that hold the shared parts of one prompt in their KV cache.
  *
- * <p>Parts are looked up under the name space of the engine's weights and, for an isolated account, of the account.
+ * <p>Parts are looked up in the cache namespace of the engine's weights version and, for an isolated account, of the
+ * account.
  */
 public final class PromptCache {
-    // Below this size reading a prefix again is faster than any transfer.
+    // Prefilling a shorter prefix again is faster than any transfer.
     private static final int MIN_TRANSFER_TOKENS = 500;
-    // Fixed part of a transfer: set-up at both ends and the look-up at the source.
+    // Fixed part of a transfer: setup at both ends and the lookup at the source.
     private static final double TRANSFER_SETUP_MILLIS = 10;
     private static final double CROSS_ZONE_FACTOR = 2;
-    // Part of an engine's memory that unused parts occupy; running requests take the rest.
-    private static final double ENGINE_KEPT_SHARE = 0.5;
-    private static final double STORE_KEPT_SHARE = 0.8;
+    // Share of an engine's memory that cached parts not in use occupy; running requests take the rest.
+    private static final double ENGINE_CACHED_SHARE = 0.5;
+    private static final double STORE_CACHED_SHARE = 0.8;
 
     private final PlacementIndex index;
     private final Prompt prompt;
@@ -37,16 +38,18 @@
     private final Optional<CacheStore> store;
     private final Optional<String> isolatedAccount;
     private final List<Candidate> candidates;
-    private final Map<Long, Whereabouts> byVersion = new HashMap<>();
+    private final Map<Long, PrefixLocations> byVersion = new HashMap<>();
 
     /**
-     * Where the shared parts are for one version of the weights, looked up once for each decision.
+     * Locations of the shared parts for one weights version, looked up once per decision.
      *
-     * @param holders engines, by identity
+     * @param part hash that identifies the shared prefix
+     * @param holders engines that probably have the prefix, compared by identity
+     * @param prefillingHolder hash of the engine that is prefilling the prefix
      */
-    private record Whereabouts(long part, Set<Candidate> holders, boolean inStore, OptionalLong reader) {}
+    private record PrefixLocations(long part, Set<Candidate> holders, boolean inStore, OptionalLong prefillingHolder) {}
 
-    /** Combines what is known about a prompt. Used by one thread. */
+    /** Creates a locator for one prompt. Not thread-safe. */
     public PromptCache(
             PlacementIndex index,
             Prompt prompt,
@@ -63,128 +66,139 @@
     }
 
     /**
-     * A place to copy shared parts from.
+     * An engine or store to copy the shared parts from.
      *
      * @param address IP:PORT
-     * @param millis expected time of the copy
+     * @param millis expected duration of the copy
      */
     public record Source(String address, double millis) {}
 
-    /** Name space of cached parts for an engine's weights. Other weights and other accounts never find them. */
+    /**
+     * Returns the cache namespace for a weights version. Engines with other weights and requests of other accounts
+     * never find the parts in it.
+     */
     public String salt(long weightsVersion) {
         return isolatedAccount.map(account -> weightsVersion + "/" + account).orElse(Long.toString(weightsVersion));
     }
 
-    /** Whether the shared parts are long enough for it to matter where they are. */
+    /** Whether the shared parts are so long that an engine which has them is worth preferring. */
     public boolean hasLongPrefix() {
         return prompt.sharedTokens() >= MIN_TRANSFER_TOKENS;
     }
 
     /** Whether an engine probably has the shared parts. */
     public boolean holds(Candidate candidate) {
-        return whereabouts(candidate).holders().contains(candidate);
+        return locations(candidate).holders().contains(candidate);
     }
 
-    /** Whether an engine was sent a request that makes it read the shared parts. */
+    /** Whether an engine is prefilling the shared parts for an earlier request. */
     public boolean isReading(Candidate candidate) {
-        OptionalLong reader = whereabouts(candidate).reader();
-        return reader.isPresent() && reader.getAsLong() == holder(candidate.upstream());
+        OptionalLong prefillingHolder = locations(candidate).prefillingHolder();
+        return prefillingHolder.isPresent() && prefillingHolder.getAsLong() == holder(candidate.upstream());
     }
 
-    /** Whether any engine with the same weights, or the store, probably has them or reads them. */
-    public boolean isKnownAnywhere(Candidate candidate) {
-        Whereabouts known = whereabouts(candidate);
+    /** Whether the store or an engine with the same weights probably has the shared parts, or is prefilling them. */
+    public boolean isAvailableAnywhere(Candidate candidate) {
+        PrefixLocations known = locations(candidate);
         return known.inStore()
                 || !known.holders().isEmpty()
                 || candidates.stream()
                         .anyMatch(other -> other.weightsVersion() == candidate.weightsVersion() && isReading(other));
     }
 
-    /** What to tell before a request is sent to an engine that has to get the shared parts first. */
+    /** Returns the placement to announce before a request is sent to an engine that has to obtain the shared parts. */
     public Optional<PlacementIndex.Placement> reading(Candidate chosen) {
         if (!hasLongPrefix() || holds(chosen) || isReading(chosen)) {
             return Optional.empty();
         }
-        return Optional.of(new PlacementIndex.Placement(whereabouts(chosen).part(), holder(chosen.upstream()), 0));
+        return Optional.of(new PlacementIndex.Placement(locations(chosen).part(), holder(chosen.upstream()), 0));
     }
 
-    private Whereabouts whereabouts(Candidate candidate) {
-        return whereabouts(candidate.weightsVersion());
+    private PrefixLocations locations(Candidate candidate) {
+        return locations(candidate.weightsVersion());
     }
 
-    private Whereabouts whereabouts(long weightsVersion) {
-        return byVersion.computeIfAbsent(weightsVersion, this::find);
+    private PrefixLocations locations(long weightsVersion) {
+        return byVersion.computeIfAbsent(weightsVersion, this::locate);
     }
 
-    private Whereabouts find(long weightsVersion) {
+    private PrefixLocations locate(long weightsVersion) {
         long part = part(weightsVersion);
         Set<Candidate> holders = Collections.newSetFromMap(new IdentityHashMap<>());
         candidates.stream()
                 .filter(candidate -> candidate.weightsVersion() == weightsVersion)
                 .filter(candidate ->
-                        index.holds(part, holder(candidate.upstream()), profile.cacheTokens() * ENGINE_KEPT_SHARE))
+                        index.holds(part, holder(candidate.upstream()), profile.cacheTokens() * ENGINE_CACHED_SHARE))
                 .forEach(holders::add);
         boolean inStore = store.isPresent()
-                && index.holds(part, storeHolder(store.get()), store.get().capacityTokens() * STORE_KEPT_SHARE);
-        return new Whereabouts(part, holders, inStore, index.reader(part));
+                && index.holds(part, storeHolder(store.get()), store.get().capacityTokens() * STORE_CACHED_SHARE);
+        return new PrefixLocations(part, holders, inStore, index.prefillingHolder(part));
     }
 
-    /** The quickest place to copy the shared parts from; empty when reading them again is the only way. */
-    public Optional<Source> source(Candidate target) {
+    /**
+     * Returns the source with the fastest copy of the shared parts; empty when the engine has to prefill them itself.
+     */
+    public Optional<Source> fastestSource(Candidate target) {
         if (!hasLongPrefix()) {
             return Optional.empty();
         }
-        // An engine that still has the parts copies nothing, so naming a source costs nothing when the guess was right.
-        boolean held = holds(target);
+        // An engine that still has the parts copies nothing, so stating the store as a source then costs nothing.
+        boolean targetHolds = holds(target);
         Optional<Source> best = Optional.empty();
         for (Candidate other : candidates) {
-            boolean usable =
-                    !held && other != target && whereabouts(target).holders().contains(other);
-            if (usable) {
+            boolean isSource = !targetHolds
+                    && other != target
+                    && locations(target).holders().contains(other);
+            if (isSource) {
                 double millis = transferMillis(
                         profile, other.upstream().zone(), target.upstream().zone());
-                best = quicker(best, new Source(other.upstream().address(), millis));
+                best = faster(best, new Source(other.upstream().address(), millis));
             }
         }
-        if (whereabouts(target).inStore()) {
+        if (locations(target).inStore()) {
             CacheStore from = store.orElseThrow();
-            EngineProfile link = new EngineProfile(1, 0, profile.tokenBytes(), from.linkMegabitsPerSecond());
-            double millis = transferMillis(link, from.zone(), target.upstream().zone());
-            best = quicker(best, new Source(from.address(), millis));
+            EngineProfile linkProfile = new EngineProfile(1, 0, profile.tokenBytes(), from.linkMegabitsPerSecond());
+            double millis =
+                    transferMillis(linkProfile, from.zone(), target.upstream().zone());
+            best = faster(best, new Source(from.address(), millis));
         }
         return best;
     }
 
-    /** The store to save the parts to once they are read; empty when it probably has them. */
+    /** Returns the address of the store to save the parts to after the prefill; empty when it probably has them. */
     public Optional<String> saveTo(long weightsVersion) {
-        if (!hasLongPrefix() || whereabouts(weightsVersion).inStore()) {
+        if (!hasLongPrefix() || locations(weightsVersion).inStore()) {
             return Optional.empty();
         }
         return store.map(CacheStore::address);
     }
 
-    /** What an engine that has read the prompt, and saved it when it was told to, holds from now on. */
+    /**
+     * Returns the placements that hold after an engine has prefilled the prompt.
+     *
+     * @param saved whether the request also told the engine to save the parts to the store
+     */
     public List<PlacementIndex.Placement> placements(Candidate chosen, boolean saved) {
         if (!hasLongPrefix()) {
             return List.of();
         }
-        long part = whereabouts(chosen).part();
+        long part = locations(chosen).part();
         int own = prompt.inputTokens() - prompt.sharedTokens();
-        int read = Math.max(0, holds(chosen) ? own : prompt.inputTokens());
+        int added = Math.max(0, holds(chosen) ? own : prompt.inputTokens());
         List<PlacementIndex.Placement> placements = new ArrayList<>();
-        placements.add(new PlacementIndex.Placement(part, holder(chosen.upstream()), read));
+        placements.add(new PlacementIndex.Placement(part, holder(chosen.upstream()), added));
         if (saved && store.isPresent()) {
             placements.add(new PlacementIndex.Placement(part, storeHolder(store.get()), prompt.inputTokens()));
         }
         return placements;
     }
 
-    private double transferMillis(EngineProfile link, String fromZone, String toZone) {
+    private double transferMillis(EngineProfile linkProfile, String fromZone, String toZone) {
         double factor = fromZone.equals(toZone) ? 1 : CROSS_ZONE_FACTOR;
-        return TRANSFER_SETUP_MILLIS + link.transferMillis(prompt.sharedTokens()) * factor;
+        return TRANSFER_SETUP_MILLIS + linkProfile.transferMillis(prompt.sharedTokens()) * factor;
     }
 
-    private static Optional<Source> quicker(Optional<Source> known, Source other) {
+    private static Optional<Source> faster(Optional<Source> known, Source other) {
         return known.isPresent() && known.get().millis() <= other.millis() ? known : Optional.of(other);
     }
 
@@ -196,7 +210,7 @@
         return Rendezvous.hash(upstream.key());
     }
 
-    // A store that has restarted is empty.
+    // A restarted store is empty, so each incarnation is another holder.
     private static long storeHolder(CacheStore store) {
         return Rendezvous.hash(store.address() + '#' + store.incarnation());
     }
--- a/agatelane-core/src/main/java/io/agatelane/core/fleet/query/PromptRequest.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/fleet/query/PromptRequest.java
@@ -4,11 +4,11 @@
 import io.agatelane.core.fleet.Prompt;
 
 /**
- * A prompt that needs an engine.
+ * A prompt that has to be assigned to an engine, with the requirements of its request.
  *
- * @param priority order in which engines admit it, 0 (first) to 9
- * @param newestVersion newest weights that the operator named; 0 when unknown
- * @param objectiveMillis time to the first token that its route aims at
+ * @param priority priority with which engines admit the request, 0 (first) to 9
+ * @param newestVersion newest weights version that the operator has requested; 0 when unknown
+ * @param objectiveMillis latency objective of the route: desired time to the first token
  */
 public record PromptRequest(
         Prompt prompt, EngineProfile profile, int priority, long newestVersion, long objectiveMillis) {}
--- a/agatelane-core/src/main/java/io/agatelane/core/fleet/query/RolloutPlan.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/fleet/query/RolloutPlan.java
@@ -7,11 +7,11 @@
 import java.util.Set;
 import java.util.function.ToDoubleFunction;
 
-/** Decides which engines load new weights next. */
+/** Selects the engines that load new weights next. */
 public final class RolloutPlan {
     private RolloutPlan() {}
 
-    /** Whether an engine has weights that the operator has replaced. */
+    /** Whether an engine that is not draining has weights that the operator has replaced by newer ones. */
     public static boolean isOutdated(FleetUpstream upstream, Map<String, Long> newestWeights) {
         return !upstream.draining()
                 && upstream.weightsVersions().entrySet().stream()
@@ -19,13 +19,14 @@
     }
 
     /**
-     * The engines to take out of service now: the oldest weights first, among equals the idlest.
+     * Returns the engines to take out of service now: those with the oldest weights first, among equals the least
+     * loaded.
      *
-     * <p>Answers the load of a roll-out in the middle of a day: engines of one service leave together only up to the
-     * number of concurrent loads, so that the rest can carry the traffic.
+     * <p>During a roll-out under full traffic, no more engines of a service are out of service at the same time than
+     * may load weights concurrently, so that the others can serve the requests.
      *
-     * @param reserved ids of engines that are out of service already
-     * @param maxReserved most engines out of service at once
+     * @param reserved ids of engines that are already out of service
+     * @param maxReserved maximum number of engines out of service at the same time
      */
     public static List<FleetUpstream> next(
             List<FleetUpstream> upstreams,
--- a/agatelane-core/src/main/java/io/agatelane/core/fleet/query/UpstreamChooser.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/fleet/query/UpstreamChooser.java
@@ -9,29 +9,30 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * Picks the upstream with the shortest expected time to the first byte.
+ * Chooses the upstream with the shortest expected time to the first byte.
  *
- * <p>Answers two loads: prompts with long shared prefixes, which go where the prefix is while that engine is not busy,
- * and bursts, in which they leave it for an engine that copies the prefix.
+ * <p>Prompts with a long shared prefix are sent to an engine that has the prefix as long as that engine is not busy;
+ * during bursts they are sent to another engine, which copies the prefix.
  */
 public final class UpstreamChooser {
-    // Part of the latency objective that a request rather waits than be answered on replaced weights, which costs a
-    // fifth
-    // of the answer's worth; a late answer costs more.
+    // Share of the latency objective that a request rather waits than runs on replaced weights. Replaced weights cost a
+    // fifth of the response's value; a late response costs more.
     private static final double OLD_WEIGHTS_SHARE = 0.4;
-    // A silent upstream is avoided once its oldest request has waited longer than an ordinary first token takes.
-    private static final double ORDINARY_WAIT_MILLIS = 150;
-    // Half of the requests of an upstream that fails in half of them have to be sent again, after about this time.
-    private static final double FAILURE_MILLIS = 200;
-    // Routers that read the same prefix for the first time at once meet at one engine instead of reading it twice.
-    private static final double NOT_HOME_MILLIS = 60;
-    // Share of the objective that a request waits for the engine which has or reads its prefix: a late answer has lost
-    // most of its worth, and a prefix read twice costs as much as the whole answer is worth.
-    private static final double READ_AGAIN_SHARE = 0.6;
-    // An upstream with all slots taken costs at most this much more than an empty one, before requests wait.
-    private static final double CROWDING_MILLIS = 20;
-    // Time in which a run of some tens of tokens leaves its slot.
-    private static final double RUN_MILLIS = 120;
+    // An unresponsive upstream is avoided once its oldest request has waited longer than a first token normally takes.
+    private static final double NORMAL_FIRST_TOKEN_MILLIS = 150;
+    // Expected delay per recent failure: when half of the requests to an upstream fail, half of them have to be sent
+    // again, after about this time.
+    private static final double DELAY_PER_FAILURE_MILLIS = 200;
+    // Makes routers that receive the same new prefix at the same time choose the same engine, so that the prefix is not
+    // prefilled twice.
+    private static final double NOT_PREFERRED_MILLIS = 60;
+    // Share of the objective that a request rather waits for an engine which has or is prefilling its prefix: a late
+    // response has lost most of its value, and prefilling a prefix twice costs as much as the whole response is worth.
+    private static final double REPEATED_PREFILL_SHARE = 0.6;
+    // Cost of an upstream whose slots are all in use compared with an idle one, in addition to queueing.
+    private static final double FULL_UTILISATION_MILLIS = 20;
+    // Time for which a request that generates some tens of tokens occupies a slot.
+    private static final double SLOT_OCCUPANCY_MILLIS = 120;
     private static final double PERCENT = 100;
 
     private final ChoiceSettings settings;
@@ -40,7 +41,7 @@
         this.settings = settings;
     }
 
-    /** Picks an upstream of a service whose requests carry no prompt. */
+    /** Chooses an upstream of a service whose requests have no prompt. */
     public Optional<Choice> chooseForCall(List<Candidate> candidates, double serviceMillis) {
         return best(candidates, candidate -> callMillis(candidate, serviceMillis))
                 .map(candidate -> new Choice(
@@ -51,22 +52,26 @@
                         Optional.empty()));
     }
 
-    /** Picks an engine. */
-    public Optional<Choice> chooseForPrompt(List<Candidate> candidates, PromptRequest request, PromptCache cache) {
-        // Where a short prefix is read does not matter; sending all that share one to its home would crowd it.
-        Optional<Candidate> home =
-                cache.hasLongPrefix() ? home(candidates, request.prompt(), request.newestVersion()) : Optional.empty();
-        return best(candidates, candidate -> promptMillis(candidate, home, request, cache))
+    /** Chooses an engine for a prompt. */
+    public Optional<Choice> chooseForPrompt(List<Candidate> candidates, PromptRequest request, PromptCache locator) {
+        // A short prefix may be prefilled on any engine; all requests that share it would overload a preferred one.
+        Optional<Candidate> preferred = locator.hasLongPrefix()
+                ? preferred(candidates, request.prompt(), request.newestVersion())
+                : Optional.empty();
+        return best(candidates, candidate -> promptMillis(candidate, preferred, request, locator))
                 .map(candidate -> new Choice(
                         candidate,
-                        promptMillis(candidate, home, request, cache),
+                        promptMillis(candidate, preferred, request, locator),
                         queueMillis(candidate, request),
-                        prefillMillis(candidate, request.prompt(), cache),
-                        cache.source(candidate).map(PromptCache.Source::address)));
+                        prefillMillis(candidate, request.prompt(), locator),
+                        locator.fastestSource(candidate).map(PromptCache.Source::address)));
     }
 
-    /** The engine at which all routers read a prefix first, among those with the newest weights if there are any. */
-    private static Optional<Candidate> home(List<Candidate> candidates, Prompt prompt, long newestVersion) {
+    /**
+     * Returns the engine on which all routers prefill a new prefix, by rendezvous hashing; one with the newest weights
+     * if there is any.
+     */
+    private static Optional<Candidate> preferred(List<Candidate> candidates, Prompt prompt, long newestVersion) {
         String prefix = prompt.sharedPrefixId();
         if (prefix.isEmpty()) {
             return Optional.empty();
@@ -83,74 +88,75 @@
     }
 
     private double promptMillis(
-            Candidate candidate, Optional<Candidate> home, PromptRequest request, PromptCache cache) {
+            Candidate candidate, Optional<Candidate> preferred, PromptRequest request, PromptCache locator) {
         UpstreamEstimate load = candidate.estimate();
-        double work = prefillMillis(candidate, request.prompt(), cache) * load.speedPercent() / PERCENT;
-        double millis = queueMillis(candidate, request) + work + suspicionMillis(candidate);
-        millis += readAgainMillis(candidate, home, request, cache);
+        double prefill = prefillMillis(candidate, request.prompt(), locator) * load.durationPercent() / PERCENT;
+        double millis = queueMillis(candidate, request) + prefill + penaltyMillis(candidate);
+        millis += repeatedPrefillMillis(candidate, preferred, request, locator);
         return candidate.weightsVersion() < request.newestVersion()
                 ? millis + request.objectiveMillis() * OLD_WEIGHTS_SHARE
                 : millis;
     }
 
-    // Reading a long prefix again holds the engine for as long as a late answer is late, and helps nobody.
-    private static double readAgainMillis(
-            Candidate candidate, Optional<Candidate> home, PromptRequest request, PromptCache cache) {
-        if (home.isEmpty()
-                || cache.holds(candidate)
-                || cache.isReading(candidate)
-                || cache.source(candidate).isPresent()) {
+    // Prefilling a long prefix that is available elsewhere occupies the engine for as long as a late response is late,
+    // without any benefit.
+    private static double repeatedPrefillMillis(
+            Candidate candidate, Optional<Candidate> preferred, PromptRequest request, PromptCache locator) {
+        if (preferred.isEmpty()
+                || locator.holds(candidate)
+                || locator.isReading(candidate)
+                || locator.fastestSource(candidate).isPresent()) {
             return 0;
         }
-        if (cache.isKnownAnywhere(candidate)) {
-            return request.objectiveMillis() * READ_AGAIN_SHARE;
+        if (locator.isAvailableAnywhere(candidate)) {
+            return request.objectiveMillis() * REPEATED_PREFILL_SHARE;
         }
-        return home.get() == candidate ? 0 : NOT_HOME_MILLIS;
+        return preferred.get() == candidate ? 0 : NOT_PREFERRED_MILLIS;
     }
 
     private static double queueMillis(Candidate candidate, PromptRequest request) {
         UpstreamEstimate load = candidate.estimate();
         int slots = Math.max(1, request.profile().slots());
-        double slotWait = Math.max(0, load.requests() + 1 - slots) * RUN_MILLIS / slots;
-        double crowding = load.requests() / slots * CROWDING_MILLIS;
-        double prefill = load.backlog().before(request.priority());
-        return (prefill + slotWait + crowding) * load.speedPercent() / PERCENT;
+        double slotWait = Math.max(0, load.requests() + 1 - slots) * SLOT_OCCUPANCY_MILLIS / slots;
+        double utilisation = load.requests() / slots * FULL_UTILISATION_MILLIS;
+        double prefill = load.backlog().millisAhead(request.priority());
+        return (prefill + slotWait + utilisation) * load.durationPercent() / PERCENT;
     }
 
-    private double prefillMillis(Candidate candidate, Prompt prompt, PromptCache cache) {
+    private double prefillMillis(Candidate candidate, Prompt prompt, PromptCache locator) {
         int shared = prompt.sharedTokens();
-        double own = Math.max(0, prompt.inputTokens() - shared) / settings.prefillTokensPerMilli();
-        // An engine that is reading the prefix has that work in its backlog.
-        if (cache.holds(candidate) || cache.isReading(candidate)) {
-            return own;
+        double unshared = Math.max(0, prompt.inputTokens() - shared) / settings.prefillTokensPerMilli();
+        // When an engine is already prefilling the prefix, its backlog contains that work.
+        if (locator.holds(candidate) || locator.isReading(candidate)) {
+            return unshared;
         }
-        double read = shared / settings.prefillTokensPerMilli();
-        return own
-                + cache.source(candidate)
-                        .map(source -> Math.min(read, source.millis()))
-                        .orElse(read);
+        double repeated = shared / settings.prefillTokensPerMilli();
+        return unshared
+                + locator.fastestSource(candidate)
+                        .map(source -> Math.min(repeated, source.millis()))
+                        .orElse(repeated);
     }
 
     private double callMillis(Candidate candidate, double serviceMillis) {
         UpstreamEstimate load = candidate.estimate();
-        double run = serviceMillis * load.speedPercent() / PERCENT;
-        return callQueueMillis(candidate, serviceMillis) + run + suspicionMillis(candidate);
+        double run = serviceMillis * load.durationPercent() / PERCENT;
+        return callQueueMillis(candidate, serviceMillis) + run + penaltyMillis(candidate);
     }
 
     private static double callQueueMillis(Candidate candidate, double serviceMillis) {
         UpstreamEstimate load = candidate.estimate();
         int slots = Math.max(1, candidate.upstream().slots());
         double waiting = Math.max(0, load.requests() + 1 - slots) / slots * serviceMillis;
-        // Among upstreams with a free slot the emptier one is better: some slow down when they are nearly full.
-        double crowding = load.requests() / slots * CROWDING_MILLIS;
-        return waiting * load.speedPercent() / PERCENT + crowding;
+        // Among upstreams with free slots the less loaded one is preferred: some slow down when they are nearly full.
+        double utilisation = load.requests() / slots * FULL_UTILISATION_MILLIS;
+        return waiting * load.durationPercent() / PERCENT + utilisation;
     }
 
-    private double suspicionMillis(Candidate candidate) {
+    private double penaltyMillis(Candidate candidate) {
         UpstreamEstimate load = candidate.estimate();
-        double silence = Math.max(0, load.oldestUnansweredMillis() - ORDINARY_WAIT_MILLIS);
+        double unresponsive = Math.max(0, load.oldestUnansweredMillis() - NORMAL_FIRST_TOKEN_MILLIS);
         double network = candidate.upstream().zone().equals(settings.zone()) ? 0 : settings.crossZoneMillis();
-        return silence + load.failures() * FAILURE_MILLIS + network;
+        return unresponsive + load.failures() * DELAY_PER_FAILURE_MILLIS + network;
     }
 
     private static Optional<Candidate> best(List<Candidate> candidates, ToDoubleFunction<Candidate> cost) {
--- a/agatelane-core/src/main/java/io/agatelane/core/fleet/query/WeightsRule.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/fleet/query/WeightsRule.java
@@ -5,39 +5,39 @@
 import java.util.Optional;
 
 /**
- * Keeps requests off engines whose weights were replaced too long ago.
+ * Excludes candidates whose weights were replaced too long ago.
  *
- * <p>Answers the load of a roll-out that meets engines which were dark or restart with the weights they had.
+ * <p>During a roll-out, engines that were unreachable may return, or restart, with the weights that they had before.
  */
 public final class WeightsRule {
-    // Part of the allowed time that is left unused: reading the store, and queueing at a busy engine.
+    // Safety margin within the allowed time, for reading the store and for the queue of a busy engine.
     private static final long MARGIN_MILLIS = 2_500;
 
     private WeightsRule() {}
 
     /**
-     * The candidates that may begin a request.
+     * Returns the candidates that may still start a request.
      *
-     * @param allowedMillis time for which replaced weights may still be used
+     * @param allowedMillis time for which replaced weights may still be used after the newer version was requested
      */
     public static List<Candidate> allowed(
-            List<Candidate> candidates, NamedWeights named, long nowMillis, long allowedMillis) {
+            List<Candidate> candidates, NamedWeights requested, long nowMillis, long allowedMillis) {
         List<Candidate> newest = candidates.stream()
-                .filter(candidate -> candidate.weightsVersion() >= named.newest())
+                .filter(candidate -> candidate.weightsVersion() >= requested.newest())
                 .toList();
         return candidates.stream()
-                .filter(candidate -> isAllowed(candidate, named, nowMillis, allowedMillis, newest.isEmpty()))
+                .filter(candidate -> isAllowed(candidate, requested, nowMillis, allowedMillis, newest.isEmpty()))
                 .toList();
     }
 
     private static boolean isAllowed(
-            Candidate candidate, NamedWeights named, long nowMillis, long allowedMillis, boolean noneIsNewest) {
-        Optional<NamedWeights.Naming> replaced = named.replaced(candidate.weightsVersion());
-        if (replaced.isEmpty()) {
+            Candidate candidate, NamedWeights requested, long nowMillis, long allowedMillis, boolean noneIsNewest) {
+        Optional<NamedWeights.Naming> replacement = requested.replacementOf(candidate.weightsVersion());
+        if (replacement.isEmpty()) {
             return true;
         }
-        boolean inTime = nowMillis - replaced.get().seenMillis() < allowedMillis - MARGIN_MILLIS;
-        // A restarted router does not know how long ago the version was named.
-        return inTime && (replaced.get().sawNaming() || noneIsNewest);
+        boolean inTime = nowMillis - replacement.get().firstSeenMillis() < allowedMillis - MARGIN_MILLIS;
+        // A restarted router does not know how long ago the newer version was requested.
+        return inTime && (replacement.get().requestTimeKnown() || noneIsNewest);
     }
 }
--- a/agatelane-core/src/main/java/io/agatelane/core/fleet/query/package-info.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/fleet/query/package-info.java
@@ -1,2 +1,4 @@
-/** Decisions about one request: where it goes, whether it is taken. They change nothing. */
+/**
+ * Decisions about single requests and about roll-outs, without side effects: which upstream to use, whether to refuse.
+ */
 package io.agatelane.core.fleet.query;
--- a/agatelane-core/src/test/java/io/agatelane/core/fleet/CrashSuspectsTest.java
+++ b/agatelane-core/src/test/java/io/agatelane/core/fleet/CrashSuspectsTest.java
@@ -10,9 +10,10 @@
 public class CrashSuspectsTest {
     private static final long REQUEST = 7;
 
-    // Guards against a request that each router lets take down as many upstreams as if it were alone.
+    // Guards against routers that count crashes separately, so that a request crashes the allowed number of upstreams
+    // on each of them.
     @Test
-    public void routersAddUpWhatTheySaw() {
+    public void crashesOfAllRoutersAreAdded() {
         CrashSuspects first = new CrashSuspects(1);
         CrashSuspects second = new CrashSuspects(2);
         first.crashed(REQUEST, 0);
@@ -24,7 +25,7 @@
         assertFalse(second.isQuarantined(REQUEST + 1, 30));
     }
 
-    // Guards against reports that count again because they arrive twice or come back over a relay.
+    // Guards against reports that are counted again because they arrive twice or return through a relay.
     @Test
     public void reportsCountOnce() {
         CrashSuspects first = new CrashSuspects(1);
@@ -41,9 +42,9 @@
         assertEquals(first.takeUnsent().size(), 0);
     }
 
-    // Guards against an ordinary request that is refused because upstreams crashed for other reasons.
+    // Guards against a harmless request that is refused because upstreams crashed for other reasons.
     @Test
-    public void soundAnswerAndTimeClear() {
+    public void successfulResponseOrExpiryClearsARequest() {
         CrashSuspects suspects = new CrashSuspects(1);
         for (int i = 0; i < CrashSuspects.QUARANTINE_CRASHES; i++) {
             suspects.crashed(REQUEST, 0);
@@ -53,7 +54,7 @@
         suspects.served(REQUEST);
         assertFalse(suspects.isQuarantined(REQUEST, 1));
         assertTrue(suspects.isQuarantined(REQUEST + 1, 1));
-        assertFalse(suspects.isQuarantined(REQUEST + 1, CrashSuspects.MEMORY_MILLIS));
+        assertFalse(suspects.isQuarantined(REQUEST + 1, CrashSuspects.RETENTION_MILLIS));
         assertTrue(suspects.isEmpty());
     }
 }
--- a/agatelane-core/src/test/java/io/agatelane/core/fleet/EventFramerTest.java
+++ b/agatelane-core/src/test/java/io/agatelane/core/fleet/EventFramerTest.java
@@ -15,9 +15,9 @@
     private static final String STREAM =
             "id: 1\ndata: a\n\nweight-versions: 2\r\nid: 2\r\ndata: b\r\n\r\nid: 3\ndata: c\n\n";
 
-    // Guards against a stream that is continued in the middle of an event, whatever the pieces it arrives in.
+    // Guards against a stream that is continued in the middle of an event, however the stream is split into chunks.
     @Test
-    public void piecesChangeNothing() {
+    public void chunkSizesDoNotMatter() {
         UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(7);
         byte[] bytes = STREAM.getBytes(StandardCharsets.UTF_8);
         for (int run = 0; run < 200; run++) {
@@ -33,9 +33,9 @@
         }
     }
 
-    // Guards against a piece that comes twice: the cut event is dropped and its id is not the last one.
+    // Guards against data that is sent twice: an incomplete event is dropped and does not set the last event id.
     @Test
-    public void cutEventIsDropped() {
+    public void incompleteEventIsDropped() {
         EventFramer framer = new EventFramer();
         assertEquals(text(framer.append(bytes("id: 1\ndata: a\n\nid: 2\nda"))), "id: 1\ndata: a\n\n");
         framer.dropPartialEvent();
@@ -43,9 +43,9 @@
         assertEquals(text(framer.append(bytes("id: 2\ndata: b\n\n"))), "id: 2\ndata: b\n\n");
     }
 
-    // Guards against bytes that are lost at the end of a complete answer that is not a stream of events.
+    // Guards against lost bytes at the end of a complete response that is not a stream of events.
     @Test
-    public void restIsKept() {
+    public void remainingBytesAreReturned() {
         EventFramer framer = new EventFramer();
         assertEquals(text(framer.append(bytes("{\"error\":1}"))), "");
         assertEquals(text(framer.rest()), "{\"error\":1}");
--- a/agatelane-core/src/test/java/io/agatelane/core/fleet/FleetConfigTest.java
+++ b/agatelane-core/src/test/java/io/agatelane/core/fleet/FleetConfigTest.java
@@ -12,7 +12,7 @@
 public class FleetConfigTest {
     private static final CallerLimits LIMITS = new CallerLimits(16_384, 1 << 20, 3_000, 15_000);
 
-    // Guards against a request that the shorter of two matching routes takes, and so another service runs.
+    // Guards against a request that is sent to the wrong service because the shorter of two matching prefixes is used.
     @Test
     public void longestPrefixWins() {
         FleetConfig config = config(route("outer", "a.example", "/x/"), route("inner", "a.example", "/x/y/"));
@@ -20,7 +20,7 @@
         assertEquals(name(config.route("a.example", "/x/z")), "outer");
     }
 
-    // Guards against a 404 for a host that is written with a port or in capitals.
+    // Guards against a 404 for a host that is written with a port or in upper case.
     @Test
     public void hostIsComparedWithoutPortAndCase() {
         FleetConfig config = config(route("r", "a.example", "/x/"));
@@ -35,7 +35,7 @@
         assertEquals(config.route("b.example", "/x/1"), Optional.empty());
     }
 
-    // Guards against a service with weight 0 that gets requests, and against a share that goes nowhere.
+    // Guards against requests to a service with weight 0, and against random numbers that select no service.
     @Test
     public void weightsShareRequests() {
         Route route = new Route(
@@ -56,7 +56,7 @@
         assertEquals(route.serviceFor(0.999_999), "few");
     }
 
-    // Guards against a call that runs twice because its kind allows a second send.
+    // Guards against a call that runs twice because its kind allows a second attempt.
     @Test
     public void onlyRepeatableKindsRunAgain() {
         assertTrue(RequestKind.IDEMPOTENT.mayRunAgain(false));
--- a/agatelane-core/src/test/java/io/agatelane/core/fleet/CrestTest.java
+++ b/agatelane-core/src/test/java/io/agatelane/core/fleet/OverloadTest.java
@@ -22,11 +22,11 @@
 import org.testng.annotations.Test;
 
 /**
- * Plays a demand above the engines' capacity: letters of 400 tokens and dossiers of 16,000 tokens, most of them shared.
- * Engines read one prompt after the other, by priority. The naive version takes everything, sends it to the engine with
- * the fewest requests and states one priority for all.
+ * Simulates a demand above the engines' capacity: short prompts of 400 tokens and long prompts of 16,000 tokens, most
+ * of them shared. Engines prefill one prompt after the other, by priority. The baseline accepts every request, sends it
+ * to the engine with the fewest requests and uses one priority for all.
  */
-public class CrestTest {
+public class OverloadTest {
     private static final int ENGINES = 4;
     private static final double TOKENS_PER_MILLI = 100;
     private static final long OBJECTIVE_MILLIS = 500;
@@ -38,7 +38,7 @@
         return new Object[][] {{1L}, {2L}, {3L}};
     }
 
-    private record Job(Prompt prompt, boolean isLetter, int priority, long arrivedMillis, double workMillis) {}
+    private record Job(Prompt prompt, boolean isShort, int priority, long arrivedMillis, double workMillis) {}
 
     private static final class Engine {
         private final PriorityQueue<Job> queue =
@@ -48,27 +48,27 @@
     }
 
     private static final class Outcome {
-        private int lettersInTime;
-        private int dossiersInTime;
-        private int letters;
+        private int shortInTime;
+        private int longInTime;
+        private int shortCount;
         private int refused;
     }
 
-    // Guards against a crest at which every request is late because all of them are taken.
+    // Guards against an overload in which every request is late because all of them are accepted.
     @Test(dataProvider = "seeds")
     public void shortQueuesServeMoreInTime(long seed) {
-        Outcome naive = play(seed, false);
-        Outcome current = play(seed, true);
+        Outcome baseline = simulate(seed, false);
+        Outcome current = simulate(seed, true);
         assertTrue(
-                current.lettersInTime + current.dossiersInTime > 1.5 * (naive.lettersInTime + naive.dossiersInTime),
-                "seed " + seed + ": " + current.lettersInTime + "+" + current.dossiersInTime + " against "
-                        + naive.lettersInTime + "+" + naive.dossiersInTime);
-        assertTrue(current.dossiersInTime >= naive.dossiersInTime, "dossiers must not pay for the letters");
-        assertTrue(current.lettersInTime > 0.9 * current.letters, "letters must not queue behind dossiers");
+                current.shortInTime + current.longInTime > 1.5 * (baseline.shortInTime + baseline.longInTime),
+                "seed " + seed + ": " + current.shortInTime + "+" + current.longInTime + " against "
+                        + baseline.shortInTime + "+" + baseline.longInTime);
+        assertTrue(current.longInTime >= baseline.longInTime, "long prompts must not suffer for the short ones");
+        assertTrue(current.shortInTime > 0.9 * current.shortCount, "short prompts must not queue behind long ones");
         assertTrue(current.refused > 0, "the demand is above the capacity");
     }
 
-    private static Outcome play(long seed, boolean current) {
+    private static Outcome simulate(long seed, boolean current) {
         UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
         UpstreamChooser chooser = new UpstreamChooser(new ChoiceSettings("z", 0, TOKENS_PER_MILLI));
         PlacementIndex index = new PlacementIndex();
@@ -84,13 +84,13 @@
             }
             while (next <= now) {
                 next += 2.0 + 4.0 * random.nextDouble();
-                boolean isLetter = random.nextInt(5) > 0;
-                outcome.letters += isLetter ? 1 : 0;
-                Prompt prompt = prompt(isLetter, random.nextInt(PREFIXES));
+                boolean isShort = random.nextInt(5) > 0;
+                outcome.shortCount += isShort ? 1 : 0;
+                Prompt prompt = prompt(isShort, random.nextInt(PREFIXES));
                 if (current) {
-                    sendCurrent(chooser, index, engines, prompt, isLetter, now, outcome);
+                    sendChosen(chooser, index, engines, prompt, isShort, now, outcome);
                 } else {
-                    sendNaive(engines, prompt, isLetter, now);
+                    sendToLeastLoaded(engines, prompt, isShort, now);
                 }
             }
         }
@@ -103,46 +103,46 @@
             engine.freeAtMillis = Math.max(engine.freeAtMillis, now - 1) + job.workMillis();
             engine.backlog = engine.backlog.with(job.priority(), -job.workMillis());
             if (engine.freeAtMillis - job.arrivedMillis() <= OBJECTIVE_MILLIS) {
-                outcome.lettersInTime += job.isLetter() ? 1 : 0;
-                outcome.dossiersInTime += job.isLetter() ? 0 : 1;
+                outcome.shortInTime += job.isShort() ? 1 : 0;
+                outcome.longInTime += job.isShort() ? 0 : 1;
             }
         }
     }
 
-    private static void sendNaive(List<Engine> engines, Prompt prompt, boolean isLetter, long now) {
+    private static void sendToLeastLoaded(List<Engine> engines, Prompt prompt, boolean isShort, long now) {
         Engine least = engines.stream()
                 .min(Comparator.comparingInt(engine -> engine.queue.size()))
                 .orElseThrow();
-        add(least, new Job(prompt, isLetter, 5, now, prompt.inputTokens() / TOKENS_PER_MILLI));
+        add(least, new Job(prompt, isShort, 5, now, prompt.inputTokens() / TOKENS_PER_MILLI));
     }
 
-    private static void sendCurrent(
+    private static void sendChosen(
             UpstreamChooser chooser,
             PlacementIndex index,
             List<Engine> engines,
             Prompt prompt,
-            boolean isLetter,
+            boolean isShort,
             long now,
             Outcome outcome) {
         int priority = EnginePriority.of(OptionalInt.of(1), 0, prompt);
         List<Candidate> candidates = new ArrayList<>();
         for (int i = 0; i < engines.size(); i++) {
             Engine engine = engines.get(i);
-            candidates.add(Fleets.candidate(
+            candidates.add(FleetFixtures.candidate(
                     "e" + i, "z", 1, new UpstreamEstimate(engine.queue.size(), engine.backlog, 100, 0, 0)));
         }
-        PromptCache cache =
-                new PromptCache(index, prompt, Fleets.PROFILE, Optional.empty(), Optional.empty(), candidates);
-        PromptRequest request = new PromptRequest(prompt, Fleets.PROFILE, priority, 1, OBJECTIVE_MILLIS);
-        Choice choice = chooser.chooseForPrompt(candidates, request, cache).orElseThrow();
+        PromptCache locator =
+                new PromptCache(index, prompt, FleetFixtures.PROFILE, Optional.empty(), Optional.empty(), candidates);
+        PromptRequest request = new PromptRequest(prompt, FleetFixtures.PROFILE, priority, 1, OBJECTIVE_MILLIS);
+        Choice choice = chooser.chooseForPrompt(candidates, request, locator).orElseThrow();
         if (QueueRule.retryAfterMillis(choice, OBJECTIVE_MILLIS).isPresent()) {
             outcome.refused++;
             return;
         }
-        // The engine keeps what the placements say it keeps; a copy takes the time that the chooser expects.
+        // The engine caches exactly the parts of the placements; a copy takes the time that the chooser expects.
         double work = choice.prefillMillis();
-        cache.placements(choice.candidate(), false).forEach(index::placed);
-        add(engines.get(candidates.indexOf(choice.candidate())), new Job(prompt, isLetter, priority, now, work));
+        locator.placements(choice.candidate(), false).forEach(index::placed);
+        add(engines.get(candidates.indexOf(choice.candidate())), new Job(prompt, isShort, priority, now, work));
     }
 
     private static void add(Engine engine, Job job) {
@@ -150,12 +150,15 @@
         engine.backlog = engine.backlog.with(job.priority(), job.workMillis());
     }
 
-    private static Prompt prompt(boolean isLetter, int prefix) {
-        return isLetter
+    private static Prompt prompt(boolean isShort, int prefix) {
+        return isShort
                 ? new Prompt(
-                        Fleets.MODEL, List.of(new PromptPart("l" + prefix, 90), new PromptPart("own", 310)), 400, 8)
+                        FleetFixtures.MODEL,
+                        List.of(new PromptPart("l" + prefix, 90), new PromptPart("own", 310)),
+                        400,
+                        8)
                 : new Prompt(
-                        Fleets.MODEL,
+                        FleetFixtures.MODEL,
                         List.of(new PromptPart("d" + prefix, 13_000), new PromptPart("own", 3_000)),
                         16_000,
                         20);
--- a/agatelane-core/src/test/java/io/agatelane/core/fleet/PeerLoadsTest.java
+++ b/agatelane-core/src/test/java/io/agatelane/core/fleet/PeerLoadsTest.java
@@ -9,7 +9,7 @@
 public class PeerLoadsTest {
     private static final long ENGINE = 42;
 
-    // Guards against a late datagram, or one of an earlier start, that brings old load back.
+    // Guards against a late datagram, or one of an earlier incarnation, that overwrites a newer load.
     @Test
     public void olderDigestsAreIgnored() {
         PeerLoads peers = new PeerLoads();
@@ -19,9 +19,9 @@
         assertEquals(peers.total(ENGINE, 3).inFlight(), 3);
     }
 
-    // Guards against the load of a router that was killed and would count for ever.
+    // Guards against the load of a killed router that is counted forever.
     @Test
-    public void silentRoutersExpire() {
+    public void routersWithoutDigestsExpire() {
         PeerLoads peers = new PeerLoads();
         peers.update("a", 1, 1, List.of(load(3, 0)), 0);
         peers.update("b", 1, 1, List.of(load(2, 0)), 3_000);
@@ -29,28 +29,28 @@
         assertEquals(peers.total(ENGINE, 9_000), PeerTotal.NONE);
     }
 
-    // Guards against one router that is cut off from an engine and makes all others avoid it.
+    // Guards against a single router that is cut off from an engine and makes all others avoid it.
     @Test
-    public void silenceNeedsTwoWitnesses() {
+    public void unresponsivenessNeedsTwoObservers() {
         PeerLoads peers = new PeerLoads();
         peers.update("a", 1, 1, List.of(load(1, 2_000)), 0);
         peers.update("b", 1, 1, List.of(load(1, 0)), 0);
-        assertEquals(peers.total(ENGINE, 1).silentMillis(), 0);
+        assertEquals(peers.total(ENGINE, 1).confirmedUnansweredMillis(), 0);
         peers.update("b", 1, 2, List.of(load(1, 700)), 50);
-        assertEquals(peers.total(ENGINE, 100).silentMillis(), 700);
+        assertEquals(peers.total(ENGINE, 100).confirmedUnansweredMillis(), 700);
     }
 
-    // Guards against urgent requests that count work behind them as work before them.
+    // Guards against urgent requests for which work of lower priority counts as work ahead of them.
     @Test
-    public void backlogIsKeptByPriority() {
+    public void backlogIsSeparatedByPriority() {
         PrefillBacklog backlog = PrefillBacklog.EMPTY.with(1, 30).with(4, 500);
-        assertEquals(backlog.before(1), 30.0);
-        assertEquals(backlog.before(9), 530.0);
-        assertEquals(PrefillBacklog.of(backlog.figures()).before(9), 530.0);
-        assertEquals(backlog.with(4, -800).total(), 30.0);
+        assertEquals(backlog.millisAhead(1), 30.0);
+        assertEquals(backlog.millisAhead(9), 530.0);
+        assertEquals(PrefillBacklog.of(backlog.figures()).millisAhead(9), 530.0);
+        assertEquals(backlog.with(4, -800).totalMillis(), 30.0);
     }
 
-    private static PeerLoad load(int inFlight, int silentMillis) {
-        return new PeerLoad(ENGINE, inFlight, PrefillBacklog.EMPTY, silentMillis, 0);
+    private static PeerLoad load(int inFlight, int unansweredMillis) {
+        return new PeerLoad(ENGINE, inFlight, PrefillBacklog.EMPTY, unansweredMillis, 0);
     }
 }
--- a/agatelane-core/src/test/java/io/agatelane/core/fleet/WindowedRetryBudgetTest.java
+++ b/agatelane-core/src/test/java/io/agatelane/core/fleet/WindowedRetryBudgetTest.java
@@ -16,7 +16,7 @@
 
     @DataProvider
     public Object[][] seeds() {
-        // Seed, routers, slack: the small deployments, and large ones whose slack does not grow with the fleet.
+        // Seed, number of routers, slack: small deployments, and large ones whose slack does not grow with the fleet.
         return new Object[][] {
             {1L, 9, 54},
             {2L, 9, 54},
@@ -30,17 +30,17 @@
         };
     }
 
-    // Guards against routers that each spend the whole budget: in no window do all together repeat more than allowed,
-    // also when every send fails, demand swings and some routers restart with an empty window.
+    // Guards against routers that each spend the whole budget: all routers together must not exceed the limit in any
+    // window, even when every attempt fails, demand varies and some routers restart with an empty window.
     @Test(dataProvider = "seeds")
-    public void allRoutersTogetherStayWithinTheBound(long seed, int size, int slack) {
+    public void allRoutersTogetherStayWithinTheLimit(long seed, int size, int slack) {
         UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
         List<WindowedRetryBudget> routers = new ArrayList<>();
         for (int i = 0; i < size; i++) {
             routers.add(budget(slack));
         }
         List<Long> requests = new ArrayList<>();
-        List<Long> repeats = new ArrayList<>();
+        List<Long> retries = new ArrayList<>();
         for (long now = 0; now < 60_000; now += 1 + random.nextInt(now % 20_000 < 5_000 ? 5 : 50)) {
             int router = random.nextInt(size);
             if (random.nextInt(2_000) == 0) {
@@ -49,12 +49,12 @@
             routers.get(router).recordRequest(now);
             requests.add(now);
             while (routers.get(router).tryTake(now, size)) {
-                repeats.add(now);
+                retries.add(now);
             }
         }
         for (long end = 0; end < 60_000; end += 500) {
             long allowed = Math.round(RATIO * inWindow(requests, end) + slack);
-            assertTrue(inWindow(repeats, end) <= allowed, "seed " + seed + ", window ending at " + end);
+            assertTrue(inWindow(retries, end) <= allowed, "seed " + seed + ", window ending at " + end);
         }
     }
 
