--- a/agatelane-core/src/main/java/io/agatelane/core/routing/Decision.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/routing/Decision.java
@@ -2,9 +2,12 @@
 
 import java.util.Arrays;
 
-/** Candidates and scores of one decision. Reused from request to request; owned by one thread at a time. */
+/**
+ * Candidates of one request with their scores, and the chosen one. Mutable, to be reused without allocation; used by
+ * one thread at a time.
+ */
 public final class Decision {
-    /** Largest number of candidates that are scored. */
+    /** Maximum number of candidates that are scored. */
     public static final int MAX_CANDIDATES = 16;
 
     private final UpstreamState[] upstreams = new UpstreamState[MAX_CANDIDATES];
@@ -17,7 +20,7 @@
     private int count;
     private int best;
 
-    /** Why a candidate was not chosen whatever its score. */
+    /** Reason why a candidate must not be chosen, whatever its score. */
     public enum Exclusion {
         NONE(""),
         PROBATION("probation"),
@@ -44,9 +47,9 @@
     }
 
     /**
-     * Adds a candidate unless it is there or there are as many as allowed.
+     * Adds a candidate unless it is already present or the limit is reached.
      *
-     * @return its index; -1 when it is not there and was not added
+     * @return index of the candidate; -1 when it is not present and was not added
      */
     public int addCandidate(UpstreamState upstream, int limit) {
         for (int i = 0; i < count; i++) {
@@ -61,14 +64,19 @@
         return count++;
     }
 
-    public void setScore(int index, double network, double queue, double prefill, double cached) {
-        networkMillis[index] = network;
-        queueMillis[index] = queue;
-        prefillMillis[index] = prefill;
-        cachedTokens[index] = cached;
+    public void setScore(
+            int index,
+            double newNetworkMillis,
+            double newQueueMillis,
+            double newPrefillMillis,
+            double newCachedTokens) {
+        networkMillis[index] = newNetworkMillis;
+        queueMillis[index] = newQueueMillis;
+        prefillMillis[index] = newPrefillMillis;
+        cachedTokens[index] = newCachedTokens;
     }
 
-    /** Whether the request would be long on this candidate: a cached prompt makes it shorter. */
+    /** Whether the request counts as long on this candidate; a cached prefix shortens it. */
     public boolean isLong(int index) {
         return longRequest[index];
     }
@@ -89,7 +97,7 @@
         return count;
     }
 
-    /** Index of the chosen candidate; -1 when there is none. */
+    /** Returns the index of the chosen candidate; -1 when there is none. */
     public int best() {
         return best;
     }
@@ -110,7 +118,7 @@
         return prefillMillis[index];
     }
 
-    /** Tokens expected to be in the candidate's cache. */
+    /** Returns the number of prompt tokens expected to be in the candidate's cache. */
     public double cachedTokens(int index) {
         return cachedTokens[index];
     }
--- a/agatelane-core/src/main/java/io/agatelane/core/routing/LoadReport.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/routing/LoadReport.java
@@ -1,11 +1,13 @@
 package io.agatelane.core.routing;
 
 /**
- * An engine's report about itself.
+ * Load report of an engine, with its incarnation, model and speed.
  *
- * @param draining the engine's role is "draining": it takes no new work
- * @param tokenMillis time between two generated tokens
- * @param measuredAtMillis monotonic time of the measurement on this router: arrival minus the reported age
+ * @param draining whether the engine's role is "draining", so that it takes no new requests
+ * @param slots number of requests that the engine runs at the same time
+ * @param tokenMillis time between two generated tokens of a request
+ * @param measuredAtMillis time of the measurement by this router's monotonic clock: time of receipt minus the reported
+ *     age
  */
 public record LoadReport(
         String incarnation,
@@ -18,13 +20,13 @@
         double prefillTokensPerSecond,
         double tokenMillis,
         long measuredAtMillis) {
-    private static final double LOWEST_PREFILL_RATE = 1;
+    private static final double MIN_PREFILL_TOKENS_PER_SECOND = 1;
 
     public LoadReport {
         slots = Math.max(1, slots);
         running = Math.max(0, running);
         waiting = Math.max(0, waiting);
-        prefillTokensPerSecond = Math.max(LOWEST_PREFILL_RATE, prefillTokensPerSecond);
+        prefillTokensPerSecond = Math.max(MIN_PREFILL_TOKENS_PER_SECOND, prefillTokensPerSecond);
         tokenMillis = Math.max(0, tokenMillis);
     }
 
--- a/agatelane-core/src/main/java/io/agatelane/core/routing/LoadView.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/routing/LoadView.java
@@ -1,13 +1,13 @@
 package io.agatelane.core.routing;
 
-/** A consistent copy of an engine's load; reused from candidate to candidate. */
+/** Consistent copy of an engine's load. Mutable, to be reused without allocation. */
 public final class LoadView {
     private LoadReport report;
     private int requests;
     private int longInFlight;
     private long pendingPrefillTokens;
     private double serviceMillis;
-    private long probeMillis;
+    private long lastProbeMillis;
 
     void set(
             LoadReport newReport,
@@ -15,30 +15,32 @@
             int newLongInFlight,
             long newPendingPrefillTokens,
             double newServiceMillis,
-            long newProbeMillis) {
+            long newLastProbeMillis) {
         report = newReport;
         requests = newRequests;
         longInFlight = newLongInFlight;
         pendingPrefillTokens = newPendingPrefillTokens;
         serviceMillis = newServiceMillis;
-        probeMillis = newProbeMillis;
+        lastProbeMillis = newLastProbeMillis;
     }
 
     public LoadReport report() {
         return report;
     }
 
-    /** Requests on the engine now: the report corrected by this router's requests since it was measured. */
+    /**
+     * Returns the number of requests on the engine: the reported number corrected by this router's requests since then.
+     */
     public int requests() {
         return requests;
     }
 
-    /** Long requests of this router on the engine. */
+    /** Returns the number of long requests of this router on the engine. */
     public int longInFlight() {
         return longInFlight;
     }
 
-    /** Prompt tokens of this router's requests that have no first token yet. */
+    /** Returns the number of prompt tokens to be prefilled for this router's requests without a first token. */
     public long pendingPrefillTokens() {
         return pendingPrefillTokens;
     }
@@ -47,8 +49,8 @@
         return serviceMillis;
     }
 
-    /** Time of the last probe during a probation. */
-    public long probeMillis() {
-        return probeMillis;
+    /** Returns the time of the last probe during a probation. */
+    public long lastProbeMillis() {
+        return lastProbeMillis;
     }
 }
--- a/agatelane-core/src/main/java/io/agatelane/core/routing/ModelFleet.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/routing/ModelFleet.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.stream.IntStream;
 
-/** The ready engines of one model, in name order, with their hashes in one array for fast scans. */
+/** The engines that are ready to serve one weights version of a model, with their hashes in arrays for fast scans. */
 public final class ModelFleet {
     private static final AtomicLong GENERATIONS = new AtomicLong();
 
@@ -16,14 +16,15 @@
     private final String weightsVersion;
     private final UpstreamState[] members;
     private final long[] nodeHashes;
-    private final int[] nodeFolds;
+    private final int[] foldedHashes;
     private final long[] sortedHashes;
-    private final int[] sortedMembers;
-    private final int[] localMembers;
+    private final int[] indexesByHash;
+    private final int[] localIndexes;
 
     /**
-     * Collects the engines that are ready.
+     * Selects the ready engines and keeps their order.
      *
+     * @param all all known engines, in name order
      * @param localZone availability zone of this router
      */
     public ModelFleet(String model, String weightsVersion, List<UpstreamState> all, String localZone) {
@@ -33,27 +34,27 @@
                 .filter(state -> state.isReady(model, weightsVersion))
                 .toArray(UpstreamState[]::new);
         this.nodeHashes = new long[members.length];
-        this.nodeFolds = new int[members.length];
+        this.foldedHashes = new int[members.length];
         int[] local = new int[members.length];
         int localCount = 0;
         for (int i = 0; i < members.length; i++) {
             nodeHashes[i] = members[i].nodeHash();
-            nodeFolds[i] = Rendezvous.fold(nodeHashes[i]);
+            foldedHashes[i] = Rendezvous.fold(nodeHashes[i]);
             if (members[i].availabilityZone().equals(localZone)) {
                 local[localCount++] = i;
             }
         }
-        this.localMembers = Arrays.copyOf(local, localCount);
-        this.sortedMembers = IntStream.range(0, members.length)
+        this.localIndexes = Arrays.copyOf(local, localCount);
+        this.indexesByHash = IntStream.range(0, members.length)
                 .boxed()
                 .sorted(Comparator.comparingLong(i -> nodeHashes[i]))
                 .mapToInt(Integer::intValue)
                 .toArray();
         this.sortedHashes =
-                Arrays.stream(sortedMembers).mapToLong(i -> nodeHashes[i]).toArray();
+                Arrays.stream(indexesByHash).mapToLong(i -> nodeHashes[i]).toArray();
     }
 
-    /** Differs between any two fleets of this process; never 0. */
+    /** Returns a number that is unique to this fleet within the process; never 0. */
     public long generation() {
         return generation;
     }
@@ -66,7 +67,7 @@
         return weightsVersion;
     }
 
-    /** Whether an engine is still ready for this model. */
+    /** Whether an engine is still ready for this model and weights version. */
     public boolean isReady(UpstreamState upstream) {
         return upstream.isReady(model, weightsVersion);
     }
@@ -80,18 +81,19 @@
     }
 
     /**
-     * Finds the engines with the highest rendezvous weights for a key; of equal weights the first name wins.
+     * Finds the preferred engines of a key: those with the highest rendezvous weights; of equal weights the first name
+     * wins.
      *
-     * @param indexes receives their indexes, highest weight first
+     * @param indexes receives the indexes of the engines, highest weight first
      * @param weights scratch space for at least {@link #size} weights
-     * @return how many were found: as many as there is room for, or all
+     * @return the number of indexes written: the length of {@code indexes}, or the number of engines if that is smaller
      */
-    public int findHomes(long key, int[] indexes, int[] weights) {
-        Rendezvous.weights(Rendezvous.fold(key), nodeFolds, weights);
+    public int findPreferred(long key, int[] indexes, int[] weights) {
+        Rendezvous.weights(Rendezvous.fold(key), foldedHashes, weights);
         int wanted = indexes.length;
         int found = 0;
         int lowest = Integer.MIN_VALUE;
-        for (int i = 0; i < nodeFolds.length; i++) {
+        for (int i = 0; i < foldedHashes.length; i++) {
             int weight = weights[i];
             if (weight <= lowest && found == wanted) {
                 continue;
@@ -107,19 +109,23 @@
         return found;
     }
 
-    /** Index of the engine with a node hash; -1 when it is not ready. */
+    /** Returns the index of the engine with a node hash; -1 when no ready engine has it. */
     public int indexOf(long nodeHash) {
         int position = Arrays.binarySearch(sortedHashes, nodeHash);
-        return position < 0 ? -1 : sortedMembers[position];
+        return position < 0 ? -1 : indexesByHash[position];
     }
 
-    /** Engines in this router's availability zone. */
+    /** Returns the number of engines in this router's availability zone. */
     public int localCount() {
-        return localMembers.length;
+        return localIndexes.length;
     }
 
-    /** Index of an engine in this router's availability zone. */
-    public int localMember(int position) {
-        return localMembers[position];
+    /**
+     * Returns the index of an engine in this router's availability zone.
+     *
+     * @param position from 0 to {@link #localCount} (exclusive)
+     */
+    public int localMemberIndex(int position) {
+        return localIndexes[position];
     }
 }
--- a/agatelane-core/src/main/java/io/agatelane/core/routing/PrefixRates.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/routing/PrefixRates.java
@@ -4,29 +4,29 @@
 import java.util.concurrent.atomic.AtomicLongArray;
 
 /**
- * Recent request rates of prefixes on this router. Bounded: two prefixes that share a place take turns, which only makes
- * one of them look less hot.
+ * Recent request rates of prefixes on this router. Bounded: two prefixes with the same slot overwrite each other, which
+ * only underestimates the rate of one.
  */
 public final class PrefixRates {
-    /** Time constant of the rates. */
+    /** Time constant of the exponential decay of the rates. */
     public static final double DECAY_MILLIS = 5_000;
 
     private static final double MILLIS_PER_SECOND = 1_000;
 
     private final AtomicLongArray digests;
-    // Count as float bits in the upper half, time in milliseconds in the lower half.
+    // Upper 32 bits: decayed count as float bits; lower 32 bits: time of the last request in milliseconds.
     private final AtomicLongArray counts;
     private final int mask;
     private final AtomicLong recorded = new AtomicLong();
 
-    /** Creates a table of {@code 2^bits} prefixes. */
+    /** Creates a table with {@code 2^bits} slots. */
     public PrefixRates(int bits) {
         digests = new AtomicLongArray(1 << bits);
         counts = new AtomicLongArray(1 << bits);
         mask = (1 << bits) - 1;
     }
 
-    /** Counts a request with this prefix. */
+    /** Counts a request with a prefix. */
     public void record(long digest, long nowMillis) {
         int index = (int) digest & mask;
         double count = digests.get(index) == digest ? decayed(counts.get(index), nowMillis) : 0;
@@ -36,12 +36,12 @@
         recorded.incrementAndGet();
     }
 
-    /** Number of prefixes counted since the start. */
-    public long recorded() {
+    /** Returns the number of calls of {@link #record} since the start. */
+    public long recordedCount() {
         return recorded.get();
     }
 
-    /** Requests per second with this prefix. */
+    /** Returns the rate of requests with a prefix. */
     public double perSecond(long digest, long nowMillis) {
         int index = (int) digest & mask;
         if (digests.get(index) != digest) {
--- a/agatelane-core/src/main/java/io/agatelane/core/routing/RequestProfile.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/routing/RequestProfile.java
@@ -3,9 +3,11 @@
 import io.agatelane.core.hash.PromptDigests;
 import io.agatelane.core.hash.Rendezvous;
 
-/** The properties of a request that decide where it goes: its prefix levels, its size and its class. */
+/** Properties of a request that determine the choice of an engine: the levels of its nested prefixes and its size. */
 public final class RequestProfile {
-    /** The deepest levels are kept, because they share the most tokens. */
+    /**
+     * Maximum number of prefix levels; of more levels the deepest ones are used, because they share the most tokens.
+     */
     public static final int MAX_LEVELS = 6;
 
     private static final int TOKENS_PER_BLOCK = 256;
@@ -22,7 +24,8 @@
     /**
      * Selects the prefix levels of a prompt.
      *
-     * @param seed varies the random candidates from request to request
+     * @param maxTokens maximum number of tokens to generate
+     * @param seed selects the random candidates; differs between requests
      */
     public RequestProfile(String model, PromptDigests prompt, int maxTokens, long seed) {
         int first = firstLevel(prompt);
@@ -51,7 +54,7 @@
         this.levelCount = count;
     }
 
-    /** Number of prefix levels, shallow to deep. */
+    /** Returns the number of prefix levels; level 0 is the shortest prefix. */
     public int levelCount() {
         return levelCount;
     }
@@ -60,12 +63,12 @@
         return digests[level];
     }
 
-    /** Rendezvous key of a level: account, model, weights version and prefix. */
+    /** Returns the rendezvous key of a level, which depends on account, model, weights version and prefix. */
     public long key(int level) {
         return keys[level];
     }
 
-    /** Tokens from the start of the prompt to the end of a level. */
+    /** Returns the number of tokens from the start of the prompt to the end of a level. */
     public int tokensAt(int level) {
         return tokens[level];
     }
--- a/agatelane-core/src/main/java/io/agatelane/core/routing/UpstreamState.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/routing/UpstreamState.java
@@ -4,21 +4,21 @@
 import java.util.Arrays;
 
 /**
- * What this router knows about one engine. Reports are replaced as a whole; the counts of this router's own requests are
- * guarded by the object's lock.
+ * State of one engine as observed by this router. Load reports are immutable and replaced as a whole; the counts of
+ * this router's own requests are guarded by the object's lock.
  */
 public final class UpstreamState {
-    // A power of two, so that a bucket's number gives its place.
+    // A power of two, so that the low bits of a bucket's number are its array index.
     private static final int BUCKETS = 64;
-    // 64 ms.
-    private static final int BUCKET_SHIFT = 6;
+    // Buckets of 64 ms.
+    private static final int BUCKET_MILLIS_SHIFT = 6;
     private static final int DELTA_BITS = 16;
-    // A new service time counts for a tenth, so that one unusual request does not move the estimate much.
-    private static final double SERVICE_TIME_WEIGHT = 0.1;
+    // Weight of a new service time; low, so that one unusual request does not change the estimate much.
+    private static final double SERVICE_TIME_SAMPLE_WEIGHT = 0.1;
     private static final double DEFAULT_SERVICE_MILLIS = 1_000;
-    // Stragglers come and go within seconds, so latency follows the last few requests.
-    private static final double LATENCY_WEIGHT = 0.3;
-    private static final double PROBE_WEIGHT = 0.6;
+    // Weight of a new latency; high, because engines become stragglers and recover within seconds.
+    private static final double LATENCY_SAMPLE_WEIGHT = 0.3;
+    private static final double PROBE_SAMPLE_WEIGHT = 0.6;
     private static final long NEVER = Long.MIN_VALUE / 2;
 
     private final String name;
@@ -33,7 +33,8 @@
     private volatile boolean probation;
     private volatile double roundTripMillis;
 
-    // The bucket's number in the upper bits and its delta in the lower 16, so that a scan reads one array.
+    // Changes of the number of requests by time: a bucket's number in the upper bits and its delta in the lower 16, so
+    // that a scan reads one array.
     private final long[] buckets = new long[BUCKETS];
     private int hintEpoch;
     private int inFlight;
@@ -41,8 +42,8 @@
     private long pendingPrefillTokens;
     private double serviceMillis = DEFAULT_SERVICE_MILLIS;
     private double latencyFactor = 1;
-    private long latencyMillis = NEVER;
-    private long probeMillis = NEVER;
+    private long lastLatencySampleMillis = NEVER;
+    private long lastProbeMillis = NEVER;
 
     public UpstreamState(String name, String availabilityZone, double roundTripMillis) {
         this.name = name;
@@ -64,7 +65,7 @@
         return availabilityZone;
     }
 
-    /** The last report; null before the first one. */
+    /** Returns the last report; null before the first one. */
     public LoadReport report() {
         return report;
     }
@@ -77,12 +78,12 @@
         }
     }
 
-    /** Key of hints about an incarnation; differs from earlier keys after {@link #dropHints}. */
+    /** Returns the key of hints about an incarnation; it changes when the hints are invalidated. */
     public synchronized long hintKey(String incarnation) {
         return Rendezvous.weight(HintTable.engineKey(nodeHash, incarnation), hintEpoch);
     }
 
-    /** Makes all hints about this engine invalid. */
+    /** Invalidates all hints about this engine. */
     public synchronized void dropHints() {
         hintEpoch++;
         if (report != null) {
@@ -90,7 +91,7 @@
         }
     }
 
-    /** Identity of the incarnation in the last report, for hints. */
+    /** Returns the key of hints about the incarnation in the last report. */
     public long engineKey() {
         return engineKey;
     }
@@ -103,7 +104,7 @@
         reachable = newReachable;
     }
 
-    /** Whether the configuration or another router says that the engine is leaving. */
+    /** Whether the engine is leaving according to the configuration or another router. */
     public boolean leaving() {
         return leavingByConfig || leavingByPeer;
     }
@@ -116,7 +117,7 @@
         return leavingByPeer;
     }
 
-    /** Time at which another router last said that the engine is leaving. */
+    /** Returns the time at which another router last reported whether the engine is leaving. */
     public long leavingByPeerMillis() {
         return leavingByPeerMillis;
     }
@@ -126,7 +127,7 @@
         leavingByPeer = newLeaving;
     }
 
-    /** Whether the engine gets only probe traffic because it is slow. */
+    /** Whether the engine is on probation: it is slow and receives only probe requests. */
     public boolean probation() {
         return probation;
     }
@@ -143,7 +144,7 @@
         roundTripMillis = millis;
     }
 
-    /** Whether the engine may get new work for a model with these weights. */
+    /** Whether the engine may receive new requests for a model and weights version. */
     public boolean isReady(String model, String weightsVersion) {
         LoadReport current = report;
         return reachable
@@ -154,7 +155,11 @@
                 && current.weightsVersion().equals(weightsVersion);
     }
 
-    /** Counts a request of this router as sent. */
+    /**
+     * Counts a request of this router as sent.
+     *
+     * @param prefillTokens prompt tokens that are expected not to be cached
+     */
     public synchronized void recordSent(long prefillTokens, boolean longRequest, long nowMillis) {
         inFlight++;
         longInFlight += longRequest ? 1 : 0;
@@ -162,7 +167,7 @@
         addDelta(1, nowMillis);
     }
 
-    /** Removes the prefill of a request that got its first token or ended without one. */
+    /** Subtracts the prefill tokens of a request that has received its first token or ended without one. */
     public synchronized void recordPrefillEnded(long prefillTokens) {
         pendingPrefillTokens = Math.max(0, pendingPrefillTokens - prefillTokens);
     }
@@ -174,54 +179,54 @@
         addDelta(-1, nowMillis);
     }
 
-    /** Adds the observed service time of a request that ran to its end. */
+    /** Adds the observed service time of a completed request to the estimate. */
     public synchronized void recordServiceMillis(double millis) {
-        serviceMillis += SERVICE_TIME_WEIGHT * (millis - serviceMillis);
+        serviceMillis += SERVICE_TIME_SAMPLE_WEIGHT * (millis - serviceMillis);
     }
 
     /**
-     * Adds a sample of observed over expected time to first token.
+     * Adds a sample of the ratio of observed to expected time to first token.
      *
-     * @param factor 1 when the engine was as fast as expected
+     * @param factor 1 when the engine was as fast as expected, 2 when it took twice as long
      */
     public synchronized void recordLatencyFactor(double factor, long nowMillis) {
-        // The first probes decide whether a slow engine comes back, so they count for more.
-        double weight = probation ? PROBE_WEIGHT : LATENCY_WEIGHT;
+        // Probes are few and decide whether the probation ends, so they have a higher weight.
+        double weight = probation ? PROBE_SAMPLE_WEIGHT : LATENCY_SAMPLE_WEIGHT;
         latencyFactor += weight * (factor - latencyFactor);
-        latencyMillis = nowMillis;
+        lastLatencySampleMillis = nowMillis;
     }
 
-    /** Recent observed over expected time to first token. */
+    /** Returns the recent ratio of observed to expected time to first token. */
     public synchronized double latencyFactor() {
         return latencyFactor;
     }
 
-    /** Time of the last latency sample. */
+    /** Returns the time of the last latency sample. */
     public synchronized long latencyMillis() {
-        return latencyMillis;
+        return lastLatencySampleMillis;
     }
 
-    /** Forgets old latencies, so that an engine without recent requests counts as normal. */
+    /** Discards the latency samples, so that an engine without recent requests counts as normally fast. */
     public synchronized void resetLatency() {
         latencyFactor = 1;
-        latencyMillis = NEVER;
+        lastLatencySampleMillis = NEVER;
     }
 
     public synchronized void recordProbe(long nowMillis) {
-        probeMillis = nowMillis;
+        lastProbeMillis = nowMillis;
     }
 
-    /** Time of the last probe during a probation. */
-    public synchronized long probeMillis() {
-        return probeMillis;
+    /** Returns the time of the last probe during a probation. */
+    public synchronized long lastProbeMillis() {
+        return lastProbeMillis;
     }
 
-    /** Requests of this router that run on the engine. */
+    /** Returns the number of requests of this router that are in flight on the engine. */
     public synchronized int inFlight() {
         return inFlight;
     }
 
-    /** Long requests of this router that run on the engine. */
+    /** Returns the number of long requests of this router that are in flight on the engine. */
     public synchronized int longInFlight() {
         return longInFlight;
     }
@@ -234,36 +239,41 @@
         return serviceMillis;
     }
 
-    /** Requests sent minus requests seen to finish since a point in time, at most 4 s back. */
-    public synchronized int deltaSince(long sinceMillis, long nowMillis) {
+    /**
+     * Returns the number of requests sent minus the number finished by this router since a time; the last 4 s count at
+     * most.
+     */
+    public synchronized int requestDeltaSince(long sinceMillis, long nowMillis) {
         int sum = 0;
-        long last = nowMillis >> BUCKET_SHIFT;
-        long first = Math.max(sinceMillis >> BUCKET_SHIFT, last - BUCKETS + 1);
+        long last = nowMillis >> BUCKET_MILLIS_SHIFT;
+        long first = Math.max(sinceMillis >> BUCKET_MILLIS_SHIFT, last - BUCKETS + 1);
         for (long bucket = first; bucket <= last; bucket++) {
             long packed = buckets[(int) bucket & (BUCKETS - 1)];
-            // A request in the same bucket as the measurement counts as unreported: an engine looks busier than it is
-            // for one bucket rather than idle when it is not.
+            // A request in the same bucket as the measurement counts as not included in it: for one bucket, an engine
+            // may look busier than it is, but never idle while it is busy.
             sum += packed >> DELTA_BITS == bucket ? (short) packed : 0;
         }
         return sum;
     }
 
-    /** Copies what a score needs in one step. */
+    /** Copies all values that a score needs, consistently with each other. */
     public synchronized void readInto(LoadView view, long nowMillis) {
         LoadReport current = report;
         view.set(
                 current,
                 Math.max(
                         inFlight,
-                        current.running() + current.waiting() + deltaSince(current.measuredAtMillis(), nowMillis)),
+                        current.running()
+                                + current.waiting()
+                                + requestDeltaSince(current.measuredAtMillis(), nowMillis)),
                 longInFlight,
                 pendingPrefillTokens,
                 serviceMillis,
-                probeMillis);
+                lastProbeMillis);
     }
 
     private void addDelta(int delta, long nowMillis) {
-        long bucket = nowMillis >> BUCKET_SHIFT;
+        long bucket = nowMillis >> BUCKET_MILLIS_SHIFT;
         int index = (int) bucket & (BUCKETS - 1);
         int sum = buckets[index] >> DELTA_BITS == bucket ? (short) buckets[index] : 0;
         buckets[index] = (bucket << DELTA_BITS) | ((sum + delta) & 0xFFFF);
--- a/agatelane-core/src/main/java/io/agatelane/core/routing/command/ProbationReview.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/routing/command/ProbationReview.java
@@ -5,32 +5,32 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** Puts stragglers on probation and ends probations. */
+/** Puts engines on probation that are much slower than the other engines of their model, and ends probations. */
 public final class ProbationReview {
-    /** An engine this many times slower than the median of its peers is a straggler. */
+    /** An engine whose latency factor exceeds the median of its peers this many times is a straggler. */
     public static final double STRAGGLER_FACTOR = 3;
 
-    // The way back needs a clearly lower latency, so that an engine does not change state with every sample.
+    // Lower than the factor above (hysteresis), so that an engine does not change state with every sample.
     private static final double RECOVERED_FACTOR = 1.5;
     private static final long SAMPLE_EXPIRY_MILLIS = 10_000;
 
     private ProbationReview() {}
 
-    /** Reviews the engines of one model and returns those whose state changed. */
+    /** Updates the probation of the engines of one model and returns those whose state changed. */
     public static List<UpstreamState> review(List<UpstreamState> engines, long nowMillis) {
         double[] factors = new double[engines.size()];
-        int known = 0;
+        int sampleCount = 0;
         for (UpstreamState engine : engines) {
             if (nowMillis - engine.latencyMillis() > SAMPLE_EXPIRY_MILLIS) {
                 engine.resetLatency();
             } else {
-                factors[known++] = engine.latencyFactor();
+                factors[sampleCount++] = engine.latencyFactor();
             }
         }
-        Arrays.sort(factors, 0, known);
+        Arrays.sort(factors, 0, sampleCount);
         List<UpstreamState> changed = new ArrayList<>();
         for (UpstreamState engine : engines) {
-            double normal = Math.max(1, medianOfPeers(factors, known, engine.latencyFactor()));
+            double normal = Math.max(1, medianOfPeers(factors, sampleCount, engine.latencyFactor()));
             boolean slow = engine.latencyFactor() > normal * (engine.probation() ? RECOVERED_FACTOR : STRAGGLER_FACTOR);
             if (slow != engine.probation()) {
                 engine.setProbation(slow);
@@ -40,7 +40,7 @@
         return changed;
     }
 
-    // Leaves one occurrence of the engine's own factor out, so that in a pair each is compared with the other.
+    // Excludes one occurrence of the engine's own factor, so that in a pair each engine is compared with the other one.
     private static double medianOfPeers(double[] sorted, int count, double own) {
         int position = Arrays.binarySearch(sorted, 0, count, own);
         int peers = position >= 0 ? count - 1 : count;
--- a/agatelane-core/src/main/java/io/agatelane/core/routing/command/package-info.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/routing/command/package-info.java
@@ -1,2 +1,2 @@
-/** Changes of the routing state. */
+/** Operations that change the routing state. */
 package io.agatelane.core.routing.command;
--- a/agatelane-core/src/main/java/io/agatelane/core/routing/package-info.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/routing/package-info.java
@@ -1,2 +1,5 @@
-/** State and values of routing decisions; changed through {@code command}, read through {@code query}. */
+/**
+ * State and values for the choice of model engines: {@code command} changes the state, {@code query} makes decisions on
+ * it.
+ */
 package io.agatelane.core.routing;
--- a/agatelane-core/src/main/java/io/agatelane/core/routing/query/ChoiceRules.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/routing/query/ChoiceRules.java
@@ -5,19 +5,20 @@
 import java.util.function.Predicate;
 
 /**
- * What a choice must respect beside the score.
+ * Constraints on the choice of an engine, in addition to the scores.
  *
- * @param routers routers that share the engines, as far as known; at least 1
- * @param excluded engines that this request must not use, for example because an earlier attempt failed there
+ * @param routers number of routers known to share the engines; at least 1
+ * @param excluded matches engines that this request must not use, for example because an earlier attempt failed there
  */
 public record ChoiceRules(RoutingPolicy policy, int routers, Predicate<UpstreamState> excluded) {
     private static final int PERCENT = 100;
 
     /**
-     * Long requests that this router may run on an engine at once. The engine's long slots are divided among routers;
-     * each keeps at least one, so that long work never starves on a router.
+     * Returns the number of long requests that this router may run on an engine at the same time. The engine's slots
+     * for long requests are divided among the routers; each router has at least one, so that long requests never
+     * starve.
      */
-    int longLimit(int slots) {
+    int maxLongRequests(int slots) {
         int longSlots = slots * policy.longSharePercent() / PERCENT;
         return Math.max(1, longSlots / Math.max(1, routers));
     }
--- a/agatelane-core/src/main/java/io/agatelane/core/routing/query/LoadEstimate.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/routing/query/LoadEstimate.java
@@ -3,15 +3,15 @@
 import io.agatelane.core.routing.LoadReport;
 import io.agatelane.core.routing.LoadView;
 
-/** Estimates of waiting and computing times. */
+/** Estimates the times that a request waits and is prefilled on an engine. */
 public final class LoadEstimate {
     private static final double MILLIS_PER_SECOND = 1_000;
 
     private LoadEstimate() {}
 
     /**
-     * Expected time in milliseconds until the engine starts on a new request: the wait for a slot or the prefills of
-     * this router's earlier requests, whichever is longer, because both go on at the same time.
+     * Returns the expected time until the engine starts to process a new request: the wait for a slot or the prefills
+     * of this router's earlier requests, whichever is longer, because both proceed at the same time.
      */
     public static double queueMillis(LoadView load) {
         LoadReport report = load.report();
@@ -21,7 +21,7 @@
         return Math.max(slotMillis, prefillMillis);
     }
 
-    /** Time to compute a number of prompt tokens. */
+    /** Returns the time to prefill a number of prompt tokens. */
     public static double prefillMillis(LoadReport report, double tokens) {
         return tokens * MILLIS_PER_SECOND / report.prefillTokensPerSecond();
     }
--- a/agatelane-core/src/main/java/io/agatelane/core/routing/query/VersionChoice.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/routing/query/VersionChoice.java
@@ -8,22 +8,23 @@
 import java.util.TreeMap;
 
 /**
- * Weights versions that serve new requests of a model. Normally that is the configured one. During a roll-out, at most
- * two engines load at once, so engines with the configured weights and engines that still have others share the
- * requests in proportion to their numbers; otherwise the model would be down until the first engine has loaded.
+ * Selects the weights version that serves a new request for a model. Normally that is the configured one. During a
+ * roll-out, at most two engines load weights at the same time, so engines with the configured weights and engines with
+ * other weights share the requests in proportion to their numbers; otherwise the model would be unavailable until the
+ * first engine has loaded the new weights.
  */
 public final class VersionChoice {
-    private static final int SEED_STEP = 7;
+    private static final int HASH_SEED = 7;
 
     private final List<ModelFleet> fleets;
-    private final int engines;
+    private final int engineCount;
 
     private VersionChoice(List<ModelFleet> fleets) {
         this.fleets = fleets;
-        this.engines = fleets.stream().mapToInt(ModelFleet::size).sum();
+        this.engineCount = fleets.stream().mapToInt(ModelFleet::size).sum();
     }
 
-    /** Collects the ready engines of a model by their weights version. */
+    /** Creates a selector for the ready engines of a model, by their weights version. */
     public static VersionChoice of(Map<String, ModelFleet> fleetsByVersion) {
         return new VersionChoice(new TreeMap<>(fleetsByVersion)
                 .values().stream()
@@ -35,8 +36,8 @@
     /**
      * Returns the weights version for a request.
      *
-     * @param configured the version that the configuration names; returned when no engine is ready
-     * @param seed differs from request to request
+     * @param configured the configured version, which is returned when no engine is ready
+     * @param seed differs between requests, to distribute them
      */
     public String choose(String configured, long seed) {
         if (fleets.isEmpty()) {
@@ -45,10 +46,10 @@
         if (fleets.size() == 1) {
             return fleets.get(0).weightsVersion();
         }
-        long place = Long.remainderUnsigned(Rendezvous.weight(seed, SEED_STEP), engines);
+        long remaining = Long.remainderUnsigned(Rendezvous.weight(seed, HASH_SEED), engineCount);
         for (ModelFleet fleet : fleets) {
-            place -= fleet.size();
-            if (place < 0) {
+            remaining -= fleet.size();
+            if (remaining < 0) {
                 return fleet.weightsVersion();
             }
         }
--- a/agatelane-core/src/main/java/io/agatelane/core/routing/query/package-info.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/routing/query/package-info.java
@@ -1,2 +1,2 @@
-/** Routing decisions and estimates; nothing here changes shared state. */
+/** Routing decisions and estimates, without changes to shared state. */
 package io.agatelane.core.routing.query;
--- a/agatelane-core/src/test/java/io/agatelane/core/routing/ChooserTest.java
+++ b/agatelane-core/src/test/java/io/agatelane/core/routing/EngineChooserTest.java
@@ -18,21 +18,22 @@
 import org.apache.commons.rng.simple.RandomSource;
 import org.testng.annotations.Test;
 
-public class ChooserTest {
-    private static final ChoiceRules RULES = new ChoiceRules(RoutingPolicy.DEFAULT, 1, upstream -> false);
+public class EngineChooserTest {
+    private static final ChoiceRules CONSTRAINTS = new ChoiceRules(RoutingPolicy.DEFAULT, 1, upstream -> false);
 
     private final HintTable hints = new HintTable(12);
     private final PrefixRates rates = new PrefixRates(10);
 
-    // Guards against a fast scan that disagrees with the definition of the homes, so that routers would disagree.
+    // Guards against a fast scan that deviates from the definition of the preferred engines, so that routers would
+    // disagree.
     @Test
-    public void homesAreTheHighestWeights() {
+    public void preferredEnginesHaveTheHighestWeights() {
         List<UpstreamState> engines = engines(50);
         ModelFleet fleet = new ModelFleet("m", "v1", engines, "zone-a");
         UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(3);
         for (int i = 0; i < 200; i++) {
             RequestProfile request = request("a/v1", "document " + i, random.nextLong());
-            Decision decision = new Chooser(hints, rates).choose(fleet, request, RULES, 0);
+            Decision decision = new Chooser(hints, rates).choose(fleet, request, CONSTRAINTS, 0);
             Set<UpstreamState> candidates = new HashSet<>();
             for (int c = 0; c < decision.count(); c++) {
                 candidates.add(decision.upstream(c));
@@ -46,9 +47,9 @@
         }
     }
 
-    // Guards against a prefix that moves to other homes when an engine that is not one of them leaves.
+    // Guards against a prefix that moves to another engine when an engine that it does not use leaves.
     @Test
-    public void homesStayWhenOthersLeave() {
+    public void preferredEnginesStayWhenOthersLeave() {
         List<UpstreamState> engines = engines(20);
         RequestProfile request = request("a/v1", "document", 1);
         UpstreamState first = choose(engines, request, 0);
@@ -61,24 +62,24 @@
         }
     }
 
-    // Guards against reliance on the cache of an engine's earlier life (I1). The naive key without the incarnation,
-    // kept
-    // here as a double, still matches after the restart.
+    // Guards against hints about the cache of an engine's earlier incarnation (I1). A key without the incarnation, used
+    // here for comparison, still matches after the restart.
     @Test
     public void hintsEndWithTheIncarnation() {
         UpstreamState engine = engines(1).get(0);
         RequestProfile request = request("a/v1", "document", 1);
         long digest = request.digest(0);
         hints.put(engine.nodeHash(), engine.engineKey(), digest, 0);
-        HintTable naive = new HintTable(12);
-        naive.put(engine.nodeHash(), engine.nodeHash(), digest, 0);
+        HintTable withoutIncarnation = new HintTable(12);
+        withoutIncarnation.put(engine.nodeHash(), engine.nodeHash(), digest, 0);
         assertTrue(hints.ageMillis(engine.engineKey(), digest, 32) >= 0);
         engine.setReport(report("2", "v1"));
         assertEquals(hints.ageMillis(engine.engineKey(), digest, 32), -1);
-        assertEquals(naive.ageMillis(engine.nodeHash(), digest, 32), 32);
+        assertEquals(withoutIncarnation.ageMillis(engine.nodeHash(), digest, 32), 32);
     }
 
-    // Guards against cached data of another client account or of older weights (I1): the salt changes every digest.
+    // Guards against hints about the cache of another client account or of older weights (I1): the salt changes every
+    // digest.
     @Test
     public void hintsEndWithAccountAndWeights() {
         long digest = request("a/v1", "document", 1).digest(0);
@@ -86,7 +87,7 @@
         assertNotEquals(request("a/v2", "document", 1).digest(0), digest);
     }
 
-    // Guards against work for engines with other weights, or that are leaving for any of three reasons (I1, I7).
+    // Guards against requests to engines that have other weights or are leaving for any of three reasons (I1, I7).
     @Test
     public void engineMustBeReady() {
         UpstreamState engine = engines(1).get(0);
@@ -102,26 +103,26 @@
         assertTrue(!engine.isReady("m", "v1"));
     }
 
-    // Guards against long work that takes all slots of an engine while short work waits.
+    // Guards against long requests that occupy all slots of an engine while short requests wait.
     @Test
-    public void longWorkGetsAShareOfTheSlots() {
+    public void longRequestsGetAShareOfTheSlots() {
         List<UpstreamState> engines = engines(2);
         RequestProfile longRequest = new RequestProfile("m", prompt("a/v1", "log"), 1_000, 1);
         RequestProfile shortRequest = new RequestProfile("m", prompt("a/v1", "log"), 10, 1);
-        int placed = 0;
+        int sent = 0;
         UpstreamState engine = choose(engines, longRequest, 0);
         while (engine != null) {
             engine.recordSent(0, true, 0);
-            placed++;
+            sent++;
             engine = choose(engines, longRequest, 0);
         }
-        assertEquals(placed, 4);
+        assertEquals(sent, 4);
         assertTrue(choose(engines, shortRequest, 0) != null);
     }
 
-    // Guards against a hot prefix that stays on two overloaded homes.
+    // Guards against a frequently requested prefix that stays on two overloaded engines.
     @Test
-    public void hotPrefixesGetMoreHomes() {
+    public void frequentPrefixesGetMoreEngines() {
         List<UpstreamState> engines = engines(100);
         Set<UpstreamState> used = new HashSet<>();
         for (int i = 0; i < 600; i++) {
@@ -133,19 +134,20 @@
             engine.recordSent(0, false, nowMillis);
             used.add(engine);
         }
-        assertTrue(used.size() > Chooser.HOMES, "engines used: " + used.size());
+        assertTrue(used.size() > Chooser.MIN_PREFERRED, "engines used: " + used.size());
     }
 
-    // Guards against an engine on probation that gets normal traffic, or none at all so that it never comes back.
+    // Guards against an engine on probation that receives normal traffic, or none at all so that its probation never
+    // ends.
     @Test
     public void probationGetsProbesOnly() {
         List<UpstreamState> engines = engines(2);
         RequestProfile request = request("a/v1", "document", 1);
-        UpstreamState home = choose(engines, request, 10_000);
-        home.setProbation(true);
-        home.recordProbe(10_000);
-        assertNotEquals(choose(engines, request, 10_100), home);
-        assertEquals(choose(engines, request, 11_000), home);
+        UpstreamState preferred = choose(engines, request, 10_000);
+        preferred.setProbation(true);
+        preferred.recordProbe(10_000);
+        assertNotEquals(choose(engines, request, 10_100), preferred);
+        assertEquals(choose(engines, request, 11_000), preferred);
     }
 
     private static int weight(long key, UpstreamState engine) {
@@ -154,26 +156,27 @@
         return weights[0];
     }
 
-    // Guards against weights that favour some engines, or that depend on other engines: each engine gets about its part
-    // of the prefixes as first home.
+    // Guards against hash weights that favour some engines or depend on other engines: each engine is the first
+    // preferred one for about its share of the prefixes.
     @Test
-    public void homesAreSpreadEvenly() {
+    public void preferredEnginesAreSpreadEvenly() {
         ModelFleet fleet = new ModelFleet("m", "v1", engines(20), "zone-a");
         int[] firsts = new int[20];
         int[] indexes = new int[2];
         UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(9);
         for (int i = 0; i < 20_000; i++) {
-            fleet.findHomes(random.nextLong(), indexes, new int[20]);
+            fleet.findPreferred(random.nextLong(), indexes, new int[20]);
             firsts[indexes[0]]++;
         }
         for (int count : firsts) {
-            assertTrue(count > 850 && count < 1_150, "first homes: " + count);
+            assertTrue(
+                    count > 850 && count < 1_150, "prefixes for which an engine is the first preferred one: " + count);
         }
     }
 
     private UpstreamState choose(List<UpstreamState> engines, RequestProfile request, long nowMillis) {
         ModelFleet fleet = new ModelFleet("m", "v1", engines, "zone-a");
-        Decision decision = new Chooser(hints, rates).choose(fleet, request, RULES, nowMillis);
+        Decision decision = new Chooser(hints, rates).choose(fleet, request, CONSTRAINTS, nowMillis);
         return decision.best() < 0 ? null : decision.upstream(decision.best());
     }
 
--- a/agatelane-core/src/test/java/io/agatelane/core/routing/RoutingTrial.java
+++ b/agatelane-core/src/test/java/io/agatelane/core/routing/RoutingSimulation.java
@@ -15,19 +15,20 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * Sends one seeded sequence of requests through a way of choosing engines. Prompts nest: one of 4 regulations (8,192
- * tokens), one of 40 districts (2,048), one of 200 dossiers (1,024), and a question that is always new.
+ * Simulates a seeded sequence of requests with a policy that chooses the engines. Prompts consist of nested prefixes:
+ * one of 4 regulations (8,192 tokens), one of 40 districts (2,048 tokens), one of 200 dossiers (1,024 tokens), and a
+ * question that is always new.
  */
-final class RoutingTrial {
+final class RoutingSimulation {
     private static final int ENGINES = 8;
     private static final int CACHE_TOKENS = 120_000;
     private static final int DOSSIERS = 200;
-    private static final int REPORT_MILLIS = 250;
+    private static final int REPORT_INTERVAL_MILLIS = 250;
 
-    final List<EngineModel> engines = new ArrayList<>();
+    final List<SimulatedEngine> engines = new ArrayList<>();
     private final List<PromptDigests> prompts = new ArrayList<>();
     private final long seed;
-    private final double gapMillis;
+    private final double arrivalIntervalMillis;
     private final int requests;
     private double reportLagMillis;
     private boolean straggler;
@@ -35,24 +36,31 @@
 
     /** Chooses the engine of a request. */
     interface Policy {
-        EngineModel choose(RoutingTrial trial, RequestProfile request, long nowMillis);
+        SimulatedEngine choose(RoutingSimulation simulation, RequestProfile request, long nowMillis);
 
-        default void finished(EngineModel engine, RequestProfile request, EngineModel.Run run, long nowMillis) {}
+        default void finished(
+                SimulatedEngine engine, RequestProfile request, SimulatedEngine.Run run, long nowMillis) {}
 
-        default void everyReport(RoutingTrial trial, long nowMillis) {}
+        default void reported(RoutingSimulation simulation, long nowMillis) {}
     }
 
-    /** What a sequence of requests led to. */
+    /**
+     * Results of a simulation.
+     *
+     * @param hitRate share of the prompt tokens that were cached
+     * @param computedTokens prompt tokens that were not cached
+     * @param p99Millis 99th percentile of the time to first token
+     */
     record Result(double hitRate, long computedTokens, double p99Millis) {}
 
-    private record End(double millis, EngineModel engine) {}
+    private record End(double millis, SimulatedEngine engine) {}
 
-    RoutingTrial(long seed, double gapMillis, int requests) {
+    RoutingSimulation(long seed, double arrivalIntervalMillis, int requests) {
         this.seed = seed;
-        this.gapMillis = gapMillis;
+        this.arrivalIntervalMillis = arrivalIntervalMillis;
         this.requests = requests;
         for (int i = 0; i < ENGINES; i++) {
-            engines.add(new EngineModel("e" + i, CACHE_TOKENS));
+            engines.add(new SimulatedEngine("e" + i, CACHE_TOKENS));
         }
         for (int dossier = 0; dossier < DOSSIERS; dossier++) {
             int district = dossier % 40;
@@ -65,13 +73,13 @@
         }
     }
 
-    RoutingTrial withReportLag(double millis) {
+    RoutingSimulation withReportLag(double millis) {
         reportLagMillis = millis;
         return this;
     }
 
     /** Makes the first engine 10 times slower in every second period of 5 s. */
-    RoutingTrial withStraggler() {
+    RoutingSimulation withStraggler() {
         straggler = true;
         return this;
     }
@@ -86,22 +94,22 @@
         double now = 0;
         double nextReport = 0;
         for (int i = 0; i < requests; i++) {
-            now += -Math.log(1 - random.nextDouble()) * gapMillis;
+            now += -Math.log(1 - random.nextDouble()) * arrivalIntervalMillis;
             while (nextReport <= now) {
                 reportAll(nextReport);
-                policy.everyReport(this, (long) nextReport);
-                nextReport += REPORT_MILLIS;
+                policy.reported(this, (long) nextReport);
+                nextReport += REPORT_INTERVAL_MILLIS;
             }
             while (!ends.isEmpty() && ends.peek().millis() <= now) {
                 End end = ends.poll();
                 end.engine().state.recordFinished(false, (long) end.millis());
             }
-            engines.get(0).setSlowness(straggler && (long) now / 5_000 % 2 == 1 ? 10 : 1);
+            engines.get(0).setSlowdown(straggler && (long) now / 5_000 % 2 == 1 ? 10 : 1);
             RequestProfile request =
                     new RequestProfile("m", prompts.get(random.nextInt(DOSSIERS)), 20, random.nextLong());
-            EngineModel engine = policy.choose(this, request, (long) now);
+            SimulatedEngine engine = policy.choose(this, request, (long) now);
             engine.state.recordSent(0, false, (long) now);
-            EngineModel.Run run = engine.run(request, 20 + random.nextInt(20), now);
+            SimulatedEngine.Run run = engine.run(request, 20 + random.nextInt(20), now);
             ends.add(new End(run.endMillis(), engine));
             policy.finished(engine, request, run, (long) now);
             firstTokens[i] = run.firstTokenMillis();
@@ -114,33 +122,33 @@
     }
 
     private void reportAll(double nowMillis) {
-        for (EngineModel engine : engines) {
+        for (SimulatedEngine engine : engines) {
             engine.report(nowMillis, reportLagMillis);
         }
     }
 
     static Policy roundRobin() {
-        return (trial, request, nowMillis) -> trial.engines.get(trial.position++ % ENGINES);
+        return (simulation, request, nowMillis) -> simulation.engines.get(simulation.position++ % ENGINES);
     }
 
     static Policy leastReportedLoad() {
-        return (trial, request, nowMillis) -> trial.engines.stream()
+        return (simulation, request, nowMillis) -> simulation.engines.stream()
                 .min(Comparator.comparingInt(engine ->
                         engine.state.report().running() + engine.state.report().waiting()))
                 .orElseThrow();
     }
 
-    /** Sees every cache and queue. */
+    /** Chooses the earliest first token with knowledge of every cache and queue. */
     static Policy oracle() {
-        return (trial, request, nowMillis) -> trial.engines.stream()
+        return (simulation, request, nowMillis) -> simulation.engines.stream()
                 .min(Comparator.comparingDouble(engine -> engine.waitMillis((double) nowMillis)
                         + (double) (request.promptTokens() - engine.cachedTokens(request))
                                 * 1_000.0
-                                / EngineModel.PREFILL_TOKENS_PER_SECOND))
+                                / SimulatedEngine.PREFILL_TOKENS_PER_SECOND))
                 .orElseThrow();
     }
 
-    /** The chooser under test. */
+    /** Chooses with the chooser under test. */
     static final class ChooserPolicy implements Policy {
         private final boolean probation;
         private HintTable hints;
@@ -155,7 +163,7 @@
             restart();
         }
 
-        /** Drops all memory after a number of requests, again and again. */
+        /** Discards all state of the router after each given number of requests. */
         ChooserPolicy withRestartEvery(int requests) {
             restartEvery = requests;
             return this;
@@ -168,30 +176,30 @@
         }
 
         @Override
-        public EngineModel choose(RoutingTrial trial, RequestProfile request, long nowMillis) {
+        public SimulatedEngine choose(RoutingSimulation simulation, RequestProfile request, long nowMillis) {
             if (++choices % restartEvery == 0) {
                 restart();
             }
             ModelFleet fleet = new ModelFleet(
                     "m",
                     "v1",
-                    trial.engines.stream().map(engine -> engine.state).toList(),
+                    simulation.engines.stream().map(engine -> engine.state).toList(),
                     "zone-a");
-            ChoiceRules rules = new ChoiceRules(RoutingPolicy.DEFAULT, 1, upstream -> false);
-            Decision decision = chooser.choose(fleet, request, rules, nowMillis);
+            ChoiceRules constraints = new ChoiceRules(RoutingPolicy.DEFAULT, 1, upstream -> false);
+            Decision decision = chooser.choose(fleet, request, constraints, nowMillis);
             UpstreamState best = decision.upstream(decision.best());
             if (best.probation()) {
                 best.recordProbe(nowMillis);
             }
             expectedMillis = Math.max(20, decision.totalMillis(decision.best()));
-            return trial.engines.stream()
+            return simulation.engines.stream()
                     .filter(engine -> engine.state == best)
                     .findFirst()
                     .orElseThrow();
         }
 
         @Override
-        public void finished(EngineModel engine, RequestProfile request, EngineModel.Run run, long nowMillis) {
+        public void finished(SimulatedEngine engine, RequestProfile request, SimulatedEngine.Run run, long nowMillis) {
             for (int level = 0; level < request.levelCount(); level++) {
                 hints.put(engine.state.nodeHash(), engine.state.engineKey(), request.digest(level), nowMillis);
                 rates.record(request.digest(level), nowMillis);
@@ -199,15 +207,15 @@
             engine.state.recordServiceMillis(run.endMillis()
                     - run.firstTokenMillis()
                     - nowMillis
-                    + run.computedTokens() * 1_000.0 / EngineModel.PREFILL_TOKENS_PER_SECOND);
+                    + run.computedTokens() * 1_000.0 / SimulatedEngine.PREFILL_TOKENS_PER_SECOND);
             engine.state.recordLatencyFactor(run.firstTokenMillis() / expectedMillis, nowMillis);
         }
 
         @Override
-        public void everyReport(RoutingTrial trial, long nowMillis) {
+        public void reported(RoutingSimulation simulation, long nowMillis) {
             if (probation) {
                 var unused = ProbationReview.review(
-                        trial.engines.stream().map(engine -> engine.state).toList(), nowMillis);
+                        simulation.engines.stream().map(engine -> engine.state).toList(), nowMillis);
             }
         }
     }
--- a/agatelane-core/src/test/java/io/agatelane/core/routing/EngineModel.java
+++ b/agatelane-core/src/test/java/io/agatelane/core/routing/SimulatedEngine.java
@@ -6,8 +6,8 @@
 import java.util.List;
 import java.util.Map;
 
-/** A small queueing model of one engine: slots, a prefix cache with least-recently-used eviction, and late reports. */
-final class EngineModel {
+/** Queueing model of one engine, with slots, a prefix cache with least-recently-used eviction, and delayed reports. */
+final class SimulatedEngine {
     static final double PREFILL_TOKENS_PER_SECOND = 10_000;
     static final double TOKEN_MILLIS = 10;
     private static final int SLOTS = 4;
@@ -17,34 +17,34 @@
     private final LinkedHashMap<Long, Integer> cache = new LinkedHashMap<>(16, 0.75f, true);
     private final int cacheTokens;
     private int usedTokens;
-    private double slowness = 1;
-    private final List<Double> ends = new ArrayList<>();
-    private final List<Measured> measured = new ArrayList<>();
+    private double slowdown = 1;
+    private final List<Double> endsMillis = new ArrayList<>();
+    private final List<Measurement> measurements = new ArrayList<>();
 
-    private record Measured(double millis, int requests) {}
+    private record Measurement(double millis, int requests) {}
 
-    EngineModel(String name, int cacheTokens) {
+    SimulatedEngine(String name, int cacheTokens) {
         this.cacheTokens = cacheTokens;
         state = new UpstreamState(name, "zone-a", 0.5);
         state.setReachable(true);
         report(0, 0);
     }
 
-    /** Outcome of one request. */
+    /** Result of one simulated request. */
     record Run(double firstTokenMillis, double endMillis, int cachedTokens, int computedTokens) {}
 
-    void setSlowness(double factor) {
-        slowness = factor;
+    void setSlowdown(double factor) {
+        slowdown = factor;
     }
 
-    /** Measures the load and delivers the measurement of an earlier time. */
+    /** Measures the load and reports the measurement that is older by the lag. */
     void report(double nowMillis, double lagMillis) {
-        ends.removeIf(end -> end <= nowMillis);
-        measured.add(new Measured(nowMillis, ends.size()));
-        while (measured.size() > 1 && measured.get(1).millis() <= nowMillis - lagMillis) {
-            measured.remove(0);
+        endsMillis.removeIf(end -> end <= nowMillis);
+        measurements.add(new Measurement(nowMillis, endsMillis.size()));
+        while (measurements.size() > 1 && measurements.get(1).millis() <= nowMillis - lagMillis) {
+            measurements.remove(0);
         }
-        Measured reported = measured.get(0);
+        Measurement reported = measurements.get(0);
         state.setReport(new LoadReport(
                 "1",
                 "m",
@@ -79,15 +79,15 @@
             slot = slotFreeMillis[i] < slotFreeMillis[slot] ? i : slot;
         }
         double start = Math.max(nowMillis, slotFreeMillis[slot]);
-        double first = start + slowness * computed * 1_000.0 / PREFILL_TOKENS_PER_SECOND;
-        double end = first + slowness * outputTokens * TOKEN_MILLIS;
+        double first = start + slowdown * computed * 1_000.0 / PREFILL_TOKENS_PER_SECOND;
+        double end = first + slowdown * outputTokens * TOKEN_MILLIS;
         slotFreeMillis[slot] = end;
-        ends.add(end);
-        remember(request);
+        endsMillis.add(end);
+        addToCache(request);
         return new Run(first - nowMillis, end, cached, computed);
     }
 
-    private void remember(RequestProfile request) {
+    private void addToCache(RequestProfile request) {
         int previous = 0;
         for (int level = 0; level < request.levelCount(); level++) {
             int tokens = request.tokensAt(level) - previous;
--- a/agatelane-core/src/test/java/io/agatelane/core/routing/ProbationReviewTest.java
+++ b/agatelane-core/src/test/java/io/agatelane/core/routing/StragglerProbationTest.java
@@ -8,11 +8,11 @@
 import java.util.List;
 import org.testng.annotations.Test;
 
-public class ProbationReviewTest {
-    // Guards against a straggler that keeps its traffic, and against a probation that never ends.
+public class StragglerProbationTest {
+    // Guards against a straggler that still receives normal traffic, and against a probation that never ends.
     @Test
     public void startsAndEndsProbations() {
-        List<UpstreamState> engines = ChooserTest.engines(8);
+        List<UpstreamState> engines = EngineChooserTest.engines(8);
         UpstreamState slow = engines.get(3);
         for (int i = 0; i < 5; i++) {
             engines.forEach(engine -> engine.recordLatencyFactor(engine == slow ? 10 : 1, 0));
@@ -25,13 +25,14 @@
         assertFalse(slow.probation());
     }
 
-    // Guards against probations of half the fleet when everything is slow, and against a pair that is never compared.
+    // Guards against a probation of half the fleet when all engines are slow, and against two engines that are never
+    // compared with each other.
     @Test
     public void comparesWithPeers() {
-        List<UpstreamState> engines = ChooserTest.engines(8);
+        List<UpstreamState> engines = EngineChooserTest.engines(8);
         engines.forEach(engine -> engine.recordLatencyFactor(40, 0));
         assertTrue(ProbationReview.review(engines, 0).isEmpty());
-        List<UpstreamState> pair = ChooserTest.engines(2);
+        List<UpstreamState> pair = EngineChooserTest.engines(2);
         for (int i = 0; i < 5; i++) {
             pair.get(0).recordLatencyFactor(1, 0);
             pair.get(1).recordLatencyFactor(10, 0);
@@ -42,7 +43,7 @@
     // Guards against old samples that keep an idle engine on probation.
     @Test
     public void forgetsOldSamples() {
-        List<UpstreamState> engines = ChooserTest.engines(3);
+        List<UpstreamState> engines = EngineChooserTest.engines(3);
         engines.forEach(engine -> engine.recordLatencyFactor(1, 0));
         for (int i = 0; i < 5; i++) {
             engines.get(0).recordLatencyFactor(20, 0);
--- a/agatelane-core/src/test/java/io/agatelane/core/routing/query/VersionChoiceTest.java
+++ b/agatelane-core/src/test/java/io/agatelane/core/routing/query/VersionSelectorTest.java
@@ -12,29 +12,29 @@
 import java.util.Map;
 import org.testng.annotations.Test;
 
-/** Guards against a model that is down while its new weights are loaded. */
-public final class VersionChoiceTest {
+/** Guards against a model that is unavailable while its new weights are loaded. */
+public final class VersionSelectorTest {
     private static final int REQUESTS = 8_000;
 
     @Test
     public void oldWeightsServeUntilNewOnesAreLoaded() {
-        assertEquals(choice(8, 0).choose("v2", 1), "v1");
-        assertEquals(choice(0, 8).choose("v2", 1), "v2");
-        assertEquals(choice(0, 0).choose("v2", 1), "v2");
+        assertEquals(selector(8, 0).choose("v2", 1), "v1");
+        assertEquals(selector(0, 8).choose("v2", 1), "v2");
+        assertEquals(selector(0, 0).choose("v2", 1), "v2");
     }
 
     @Test
     public void requestsAreSharedInProportionToTheEngines() {
-        VersionChoice choice = choice(6, 2);
+        VersionChoice selector = selector(6, 2);
         int served = 0;
         for (int seed = 0; seed < REQUESTS; seed++) {
-            served += choice.choose("v2", seed).equals("v2") ? 1 : 0;
+            served += selector.choose("v2", seed).equals("v2") ? 1 : 0;
         }
         // A quarter of the engines has the new weights; 10% of tolerance is over 6 standard deviations.
         assertTrue(Math.abs(served - REQUESTS / 4) < REQUESTS / 40, "new weights served " + served);
     }
 
-    private static VersionChoice choice(int oldEngines, int newEngines) {
+    private static VersionChoice selector(int oldEngines, int newEngines) {
         List<UpstreamState> states = new ArrayList<>();
         for (int i = 0; i < oldEngines + newEngines; i++) {
             UpstreamState state = new UpstreamState("engine-" + i, "zone-a", 1);
