--- a/agatelane-core/src/main/java/io/agatelane/core/booking/Answer.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/booking/Answer.java
@@ -3,13 +3,13 @@
 import java.util.Arrays;
 import java.util.Objects;
 
-/** Whole answer of a service, as it is given again to a caller that retries. */
+/** Complete response of a service, stored so that a caller that retries receives the same response. */
 public final class Answer {
     private final int status;
     private final String contentType;
     private final byte[] body;
 
-    /** Takes over the array, which must not change afterwards. */
+    /** Keeps a reference to the array, which the caller must not change afterwards. */
     public Answer(int status, String contentType, byte[] body) {
         this.status = status;
         this.contentType = Objects.requireNonNull(contentType);
@@ -20,12 +20,12 @@
         return status;
     }
 
-    /** Media type; empty when the service sent none. */
+    /** Returns the media type; empty when the service sent none. */
     public String contentType() {
         return contentType;
     }
 
-    /** The body itself, not a copy; it must not be changed. */
+    /** Returns the body itself, not a copy; it must not be changed. */
     public byte[] body() {
         return body;
     }
@@ -45,6 +45,6 @@
 
     @Override
     public String toString() {
-        return "Answer[status=" + status + ", contentType=" + contentType + ", bodyBytes=" + body.length + "]";
+        return "ServiceResponse[status=" + status + ", contentType=" + contentType + ", bodyBytes=" + body.length + "]";
     }
 }
--- a/agatelane-core/src/main/java/io/agatelane/core/booking/AttemptId.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/booking/AttemptId.java
@@ -1,7 +1,7 @@
 package io.agatelane.core.booking;
 
 /**
- * One attempt of a router to run a call.
+ * Identifies one attempt of a router to run a call.
  *
  * @param vmIncarnation start of the router's process; another value means that the attempt's state is lost
  * @param number unique within one incarnation
--- a/agatelane-core/src/main/java/io/agatelane/core/booking/Booking.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/booking/Booking.java
@@ -6,8 +6,8 @@
  * Recorded state of one booking.
  *
  * @param requestDigest hexadecimal digest of method, path and body
- * @param answer present for a finished booking whose answer is short enough to be kept inline
- * @param claimedEpochMillis wall-clock time of the claim; begins the retention time
+ * @param answer present for a finished booking whose response is short enough to be stored in the segment
+ * @param claimedEpochMillis wall-clock time of the claim, at which the retention time begins
  */
 public record Booking(
         BookingKey key,
@@ -16,14 +16,14 @@
         BookingState state,
         Optional<Answer> answer,
         long claimedEpochMillis) {
-    /** Returns a new claim of an attempt. */
+    /** Returns a booking that an attempt has just claimed. */
     public static Booking claimed(BookingKey key, AttemptId attempt, String requestDigest, long epochMillis) {
         return new Booking(key, attempt, requestDigest, BookingState.CLAIMED, Optional.empty(), epochMillis);
     }
 
-    /** Returns the finished booking; an empty answer means that it is stored under a key of its own. */
-    public Booking withFinished(Optional<Answer> newAnswer) {
-        return new Booking(key, attempt, requestDigest, BookingState.FINISHED, newAnswer, claimedEpochMillis);
+    /** Returns the finished booking; pass an empty response when it is stored under its own key. */
+    public Booking withFinished(Optional<Answer> newResponse) {
+        return new Booking(key, attempt, requestDigest, BookingState.FINISHED, newResponse, claimedEpochMillis);
     }
 
     public Booking withOutcomeUnknown() {
@@ -31,7 +31,7 @@
                 key, attempt, requestDigest, BookingState.OUTCOME_UNKNOWN, Optional.empty(), claimedEpochMillis);
     }
 
-    /** Whether a retry now counts as a new call. */
+    /** Returns whether the retention time has ended, after which a retry counts as a new call. */
     public boolean isExpired(long nowEpochMillis, long retentionMillis) {
         return nowEpochMillis - claimedEpochMillis >= retentionMillis;
     }
--- a/agatelane-core/src/main/java/io/agatelane/core/booking/BookingState.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/booking/BookingState.java
@@ -1,11 +1,11 @@
 package io.agatelane.core.booking;
 
-/** What is recorded about a booking. */
+/** Recorded progress of a booking. */
 public enum BookingState {
     /** An attempt holds the claim; the call may be running. */
     CLAIMED,
-    /** The call ran and its answer is kept. */
+    /** The call ran and its response is stored. */
     FINISHED,
-    /** The call may have run; its answer is not known. */
+    /** The call may have run; its response is not known. */
     OUTCOME_UNKNOWN
 }
--- a/agatelane-core/src/main/java/io/agatelane/core/booking/LoadedPartition.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/booking/LoadedPartition.java
@@ -3,10 +3,10 @@
 import java.util.Map;
 
 /**
- * A partition as read from the platform.
+ * Content of a partition as read from the platform's store.
  *
  * @param revision revision of the open segment; 0 when it does not exist
- * @param sealed content of the sealed segments that were asked for, by name
+ * @param sealed content of the requested sealed segments, by name
  */
 public record LoadedPartition(long revision, Segment open, Map<String, Segment> sealed) {
     public LoadedPartition {
--- a/agatelane-core/src/main/java/io/agatelane/core/booking/Outcome.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/booking/Outcome.java
@@ -2,15 +2,17 @@
 
 import java.util.Optional;
 
-/** How an attempt ended. */
+/** How an attempt ended, with the response if the call ran. */
 public record Outcome(Kind kind, Optional<Answer> answer) {
-    /** Kinds of ends of an attempt, from the least to the most certain knowledge. */
+    /**
+     * Ways in which an attempt ends, ordered from the least to the most certain; a later one replaces an earlier one.
+     */
     public enum Kind {
-        /** The call was sent and no answer came. */
+        /** The call was sent and no response was received. */
         UNKNOWN,
-        /** The claimant knows that nothing was sent and never will be. */
+        /** The claimant did not send the call and never will, so another attempt may run it. */
         RELEASED,
-        /** The call ran. */
+        /** The call ran and its response is known. */
         ANSWERED
     }
 
--- a/agatelane-core/src/main/java/io/agatelane/core/booking/Verdict.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/booking/Verdict.java
@@ -1,17 +1,17 @@
 package io.agatelane.core.booking;
 
-/** Decision about a claim. */
+/** Result of a claim, as sent to the router that requested it. */
 public enum Verdict {
-    /** The claim is durable and belongs to the attempt that asked. */
+    /** The claim is durable and belongs to the attempt that requested it. */
     GRANTED,
-    /** Another attempt is still running after the wait. */
+    /** Another attempt was still running when the wait ended. */
     IN_PROGRESS,
-    /** The call ran; the answer is attached. */
+    /** The call ran; its response is attached. */
     FINISHED,
     /** It is not known whether the call ran. */
     UNKNOWN,
     /** The key was used with another request. */
     MISMATCH,
-    /** The claim was refused because the platform is out. */
+    /** The claim was refused for example because the platform is unavailable or the segment is full. */
     UNAVAILABLE
 }
--- a/agatelane-core/src/main/java/io/agatelane/core/booking/command/Batch.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/booking/command/Batch.java
@@ -8,9 +8,9 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** Claims and outcomes of one compare-and-swap. */
+/** Claims and outcomes that one compare-and-swap of the open segment writes. */
 final class Batch {
-    /** Claims by booking; all claims of one booking come from the same attempt. */
+    /** Claims by booking; all claims for one booking come from the same attempt. */
     final Map<BookingKey, List<PendingClaim>> claims = new LinkedHashMap<>();
 
     final Map<BookingKey, PendingOutcome> outcomes = new LinkedHashMap<>();
@@ -18,7 +18,7 @@
     Segment open;
     Optional<Effect.SealedWrite> sealed = Optional.empty();
 
-    /** All claims of the batch. */
+    /** Returns all claims of the batch. */
     List<PendingClaim> allClaims() {
         return claims.values().stream().flatMap(List::stream).toList();
     }
--- a/agatelane-core/src/main/java/io/agatelane/core/booking/command/BatchBuilder.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/booking/command/BatchBuilder.java
@@ -15,9 +15,9 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** Puts the content of one compare-and-swap together. */
+/** Builds the content of one compare-and-swap: the next open segment and, if it is due, a sealed one. */
 final class BatchBuilder {
-    private final BookingRules rules;
+    private final BookingRules limits;
     private final BookingTable table;
     private final Now now;
     private final Batch batch = new Batch();
@@ -26,12 +26,12 @@
     private int sizeBytes;
     private boolean changed;
 
-    BatchBuilder(BookingRules rules, BookingTable table, Now now) {
-        this.rules = rules;
+    BatchBuilder(BookingRules limits, BookingTable table, Now now) {
+        this.limits = limits;
         this.table = table;
         this.now = now;
         for (SealedRef ref : table.sealedRefs()) {
-            if (now.epochMillis() - ref.sealedEpochMillis() >= rules.retentionMillis()) {
+            if (now.epochMillis() - ref.sealedEpochMillis() >= limits.retentionMillis()) {
                 batch.expiredSealed.add(ref.name());
             } else {
                 sealedRefs.add(ref);
@@ -40,12 +40,12 @@
         sealIfFull(table.openBookings(now.epochMillis()));
     }
 
-    /** Adds an outcome; false when it has to wait for the next commit. */
+    /** Adds an outcome. Returns false when it does not fit and has to wait for the next commit. */
     boolean add(BookingKey key, PendingOutcome pending) {
         Booking booking = find(key);
         Optional<Booking> next = apply(key, booking, pending);
         int addedBytes = next.map(SegmentSize::of).orElse(0);
-        if (changed && sizeBytes + addedBytes > rules.maxSegmentBytes()) {
+        if (changed && sizeBytes + addedBytes > limits.maxSegmentBytes()) {
             return false;
         }
         if (next.isPresent() && !next.get().equals(booking)) {
@@ -57,7 +57,10 @@
         return true;
     }
 
-    /** Adds a claim of a booking without an entry; false when it has to wait for the next commit or there is no room. */
+    /**
+     * Adds a claim for a booking without an entry. Returns false when the segment has no room or the batch holds a
+     * claim of another attempt for the booking.
+     */
     boolean add(PendingClaim claim) {
         List<PendingClaim> sameBooking = batch.claims.get(claim.key);
         if (sameBooking != null) {
@@ -68,7 +71,7 @@
             return sameAttempt;
         }
         Booking booking = Booking.claimed(claim.key, claim.attempt, claim.requestDigest, now.epochMillis());
-        if (sizeBytes + SegmentSize.of(booking) > rules.maxSegmentBytes()) {
+        if (sizeBytes + SegmentSize.of(booking) > limits.maxSegmentBytes()) {
             return false;
         }
         put(booking);
@@ -76,12 +79,12 @@
         return true;
     }
 
-    /** Whether the open segment has no room for claims. */
+    /** Returns whether the open segment has no room for claims. */
     boolean isFull() {
-        return sizeBytes >= rules.maxSegmentBytes();
+        return sizeBytes >= limits.maxSegmentBytes();
     }
 
-    /** Returns the batch; empty when nothing has to be written. */
+    /** Returns the batch; empty when it changes nothing that is stored. */
     Optional<Batch> build(String writer) {
         if (!changed) {
             return Optional.empty();
@@ -91,19 +94,21 @@
         return Optional.of(batch);
     }
 
-    /** Outcomes that change nothing, for example because they are recorded already. */
+    /**
+     * Returns the outcomes added; when the batch is empty, they change nothing, for example because they are recorded.
+     */
     Map<BookingKey, PendingOutcome> outcomes() {
         return batch.outcomes;
     }
 
-    // A sealed segment is named by the revision at which its content was read. Two owners that seal at the same
-    // revision write the same content, so it does not matter whose write comes first.
-    private void sealIfFull(List<Booking> current) {
-        List<Booking> settled = current.stream()
+    // The name of a sealed segment contains the revision at which its content was read. Two owners that seal at the
+    // same revision write the same content, so the order of their writes does not matter.
+    private void sealIfFull(List<Booking> unexpired) {
+        List<Booking> settled = unexpired.stream()
                 .filter(booking -> booking.state() != BookingState.CLAIMED)
                 .toList();
-        boolean seal = SegmentSize.of(settled) >= rules.sealBytes();
-        for (Booking booking : current) {
+        boolean seal = SegmentSize.of(settled) >= limits.sealBytes();
+        for (Booking booking : unexpired) {
             if (!seal || booking.state() == BookingState.CLAIMED) {
                 entries.put(booking.key(), booking);
                 sizeBytes += SegmentSize.of(booking);
@@ -122,12 +127,12 @@
         return booking != null ? booking : table.find(key, now.epochMillis());
     }
 
-    // Returns the entry after the outcome; an equal one when the outcome changes nothing.
+    // Returns the entry with the outcome applied; an equal entry when the outcome changes nothing.
     private Optional<Booking> apply(BookingKey key, Booking booking, PendingOutcome pending) {
         if (booking == null) {
-            return PendingOutcomes.withoutEntry(key, pending, now.epochMillis())
+            return PendingOutcomes.entryWithoutBooking(key, pending, now.epochMillis())
                     .map(added -> added.answer().isPresent()
-                            ? added.withFinished(inline(added.answer().get()))
+                            ? added.withFinished(inlineIfShort(added.answer().get()))
                             : added);
         }
         if (booking.state() == BookingState.FINISHED || !booking.attempt().equals(pending.attempt)) {
@@ -135,17 +140,17 @@
         }
         if (pending.outcome.kind() == Outcome.Kind.ANSWERED) {
             return Optional.of(
-                    booking.withFinished(inline(pending.outcome.answer().orElseThrow())));
+                    booking.withFinished(inlineIfShort(pending.outcome.answer().orElseThrow())));
         }
         if (pending.outcome.kind() == Outcome.Kind.RELEASED) {
-            // An entry of a sealed segment cannot be removed, only overridden; it stays unknown.
+            // An entry of a sealed segment cannot be removed, only overridden; its outcome stays unknown.
             return entries.containsKey(key) ? Optional.empty() : Optional.of(booking);
         }
         return Optional.of(booking.state() == BookingState.CLAIMED ? booking.withOutcomeUnknown() : booking);
     }
 
-    private Optional<Answer> inline(Answer answer) {
-        return Optional.of(answer).filter(kept -> kept.body().length <= rules.inlineAnswerBytes());
+    private Optional<Answer> inlineIfShort(Answer response) {
+        return Optional.of(response).filter(value -> value.body().length <= limits.inlineResponseBytes());
     }
 
     private void put(Booking booking) {
--- a/agatelane-core/src/main/java/io/agatelane/core/booking/command/BookingTable.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/booking/command/BookingTable.java
@@ -14,22 +14,24 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The partition as last read or written. An entry of the open segment overrides one of a sealed segment. */
+/**
+ * Bookings of the partition as last read or written. An entry of the open segment overrides one of a sealed segment.
+ */
 final class BookingTable {
     private final long retentionMillis;
-    private final int answerCacheBytes;
+    private final int responseCacheBytes;
     private final Map<BookingKey, Booking> open = new LinkedHashMap<>();
     private final Map<String, Segment> sealedSegments = new LinkedHashMap<>();
     private final Map<BookingKey, Booking> sealedBookings = new HashMap<>();
-    private final Map<AttemptId, Answer> longAnswers = new LinkedHashMap<>();
+    private final Map<AttemptId, Answer> longResponses = new LinkedHashMap<>();
     private List<SealedRef> sealedRefs = List.of();
-    private int longAnswerBytes;
+    private int longResponseBytes;
     private long number;
     private long revision;
 
-    BookingTable(long retentionMillis, int answerCacheBytes) {
+    BookingTable(long retentionMillis, int responseCacheBytes) {
         this.retentionMillis = retentionMillis;
-        this.answerCacheBytes = answerCacheBytes;
+        this.responseCacheBytes = responseCacheBytes;
     }
 
     long revision() {
@@ -48,7 +50,7 @@
         return Set.copyOf(sealedSegments.keySet());
     }
 
-    /** Entries of the open segment that have not expired. */
+    /** Returns the entries of the open segment that have not expired. */
     List<Booking> openBookings(long nowEpochMillis) {
         List<Booking> result = new ArrayList<>(open.size());
         for (Booking booking : open.values()) {
@@ -59,7 +61,7 @@
         return result;
     }
 
-    /** All bookings in memory that have not expired. */
+    /** Returns all bookings in memory that have not expired. */
     List<Booking> allBookings(long nowEpochMillis) {
         Map<BookingKey, Booking> all = new HashMap<>(sealedBookings);
         all.putAll(open);
@@ -67,25 +69,25 @@
         return List.copyOf(all.values());
     }
 
-    /** Finds what is recorded for a key; null when nothing is or its retention time ended. */
+    /** Returns the booking recorded for a key; null when there is none or its retention time has ended. */
     Booking find(BookingKey key, long nowEpochMillis) {
         Booking booking = open.getOrDefault(key, sealedBookings.get(key));
         return booking == null || booking.isExpired(nowEpochMillis, retentionMillis) ? null : booking;
     }
 
-    /** Whether the content of every sealed segment that counts is in memory. */
+    /** Returns whether the content of every sealed segment that the open segment lists is in memory. */
     boolean isComplete() {
         return sealedRefs.stream().allMatch(ref -> sealedSegments.containsKey(ref.name()));
     }
 
-    /** Replaces the content by what was read. */
+    /** Replaces the content with that of a partition read from the store. */
     void load(LoadedPartition loaded) {
         sealedSegments.putAll(loaded.sealed());
-        adopt(loaded.revision(), loaded.open());
+        replaceOpenSegment(loaded.revision(), loaded.open());
     }
 
-    /** Takes over a segment that was written or read. */
-    void adopt(long newRevision, Segment segment) {
+    /** Replaces the open segment with one that was written or read. */
+    void replaceOpenSegment(long newRevision, Segment segment) {
         revision = newRevision;
         number = segment.number();
         open.clear();
@@ -95,34 +97,37 @@
         sealedRefs = segment.sealed();
         if (!sameSealed) {
             sealedSegments.keySet().retainAll(names);
-            rebuildSealed();
+            rebuildSealedBookings();
         }
     }
 
-    /** Adds the content of a segment that this router sealed. */
+    /** Adds the content of a segment that this router has sealed. */
     void addSealed(String name, Segment segment) {
         sealedSegments.put(name, segment);
     }
 
-    /** The answer of a finished booking if it is in memory, else null. */
-    Answer answer(Booking booking) {
-        return booking.answer().orElseGet(() -> longAnswers.get(booking.attempt()));
+    /** Returns the response of a finished booking if it is in memory, else null. */
+    Answer response(Booking booking) {
+        return booking.answer().orElseGet(() -> longResponses.get(booking.attempt()));
     }
 
-    /** Keeps a long answer in memory while there is room. */
-    void cacheAnswer(AttemptId attempt, Answer answer) {
-        if (longAnswers.putIfAbsent(attempt, answer) != null) {
+    /**
+     * Caches a long response. The oldest ones are evicted while the total exceeds the limit; the newest one always
+     * stays.
+     */
+    void cacheResponse(AttemptId attempt, Answer response) {
+        if (longResponses.putIfAbsent(attempt, response) != null) {
             return;
         }
-        longAnswerBytes += answer.body().length;
-        var oldest = longAnswers.entrySet().iterator();
-        while (longAnswerBytes > answerCacheBytes && longAnswers.size() > 1) {
-            longAnswerBytes -= oldest.next().getValue().body().length;
+        longResponseBytes += response.body().length;
+        var oldest = longResponses.entrySet().iterator();
+        while (longResponseBytes > responseCacheBytes && longResponses.size() > 1) {
+            longResponseBytes -= oldest.next().getValue().body().length;
             oldest.remove();
         }
     }
 
-    private void rebuildSealed() {
+    private void rebuildSealedBookings() {
         sealedBookings.clear();
         for (SealedRef ref : sealedRefs) {
             Segment segment = sealedSegments.get(ref.name());
--- a/agatelane-core/src/main/java/io/agatelane/core/booking/command/Effect.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/booking/command/Effect.java
@@ -9,50 +9,55 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** What the surroundings of a partition have to do. Each effect with a result comes back as an event. */
+/**
+ * Action that the caller of a partition's state machine has to carry out. The result of an action, if it has one, goes
+ * back to the machine as an event.
+ */
 public sealed interface Effect {
     /**
-     * Read the open segment and those sealed segments that it lists and that are not in memory. Comes back as
-     * {@code loaded} or {@code loadFailed}.
+     * Reads the open segment and those sealed segments that it lists and that are not in memory. The result is the
+     * event {@code loaded} or {@code loadFailed}.
+     *
+     * @param knownSealed names of the sealed segments in memory
      */
     record Load(Set<String> knownSealed) implements Effect {}
 
     /**
-     * Write the sealed segment if there is one, then swap the open one. Comes back as {@code swapWon},
-     * {@code swapLost}, {@code swapRefused} or {@code swapUnknown}.
+     * Writes the sealed segment if there is one, then replaces the open one by a compare-and-swap on its revision. The
+     * result is one of the swap events: succeeded, lost to another router, failed by an outage, or outcome unknown.
      */
     record Swap(long expectedRevision, Segment open, Optional<SealedWrite> sealed) implements Effect {}
 
-    /** Content of a segment that is sealed; its name is not used for any other content. */
+    /** A sealed segment to write; its name is never used for any other content. */
     record SealedWrite(String name, Segment segment) {}
 
-    /** Send {@code commitDue} after a time. */
+    /** Sends the event {@code commitDue} after a delay. */
     record CommitSoon(long delayMillis) implements Effect {}
 
     /**
-     * Answer a claim.
+     * Replies to a claim.
      *
-     * @param claimant the attempt that holds the claim; for {@code UNAVAILABLE} the attempt that asked when its claim
-     *     may have been written
+     * @param claimant the attempt that holds the claim; for {@code UNAVAILABLE}, and for {@code UNKNOWN} during an
+     *     outage, the requesting attempt if its claim may have been written
      */
     record Reply(long ticket, Verdict verdict, Optional<AttemptId> claimant, Optional<Answer> answer)
             implements Effect {}
 
-    /** Tell the claimant whether its outcome is recorded. */
+    /** Reports to the claimant whether its outcome is recorded. */
     record ReplyOutcome(long ticket, boolean durable) implements Effect {}
 
-    /** Ask the claimant about its attempt. Comes back as {@code claimantAnswered}. */
+    /** Queries the claimant for the state of its attempt, which goes back as an event. */
     record QueryClaimant(BookingKey key, AttemptId attempt) implements Effect {}
 
-    /** Ask the service whether the call ran. Comes back as {@code statusAnswered}. */
+    /** Queries the service for whether the call ran; the result goes back as an event. */
     record CallStatus(BookingKey key, AttemptId attempt) implements Effect {}
 
-    /** Write a long answer under a key of its own. Comes back as {@code answerStored}. */
+    /** Writes a long response under its own key; the result goes back as an event. */
     record StoreAnswer(BookingKey key, AttemptId attempt, Answer answer) implements Effect {}
 
-    /** Read a long answer. Comes back as {@code answerLoaded}. */
+    /** Reads a long response, which goes back as an event. */
     record LoadAnswer(BookingKey key, AttemptId attempt) implements Effect {}
 
-    /** Delete sealed segments, and the long answers they refer to, whose retention time ended. */
+    /** Deletes sealed segments whose retention time has ended, and the long responses to which they refer. */
     record DeleteSealed(List<String> names) implements Effect {}
 }
--- a/agatelane-core/src/main/java/io/agatelane/core/booking/command/Inquiries.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/booking/command/Inquiries.java
@@ -7,24 +7,30 @@
 import java.util.List;
 import java.util.Map;
 
-/** Inquiries about bookings whose outcome is not known here; at most one at a time for a booking. */
+/**
+ * Inquiries about bookings whose outcome this router does not know. An inquiry queries the claimant, reads the
+ * partition again and queries the service, as far as needed. A booking has at most one inquiry at a time.
+ */
 final class Inquiries {
-    /** Steps of an inquiry. */
+    /** Progress of an inquiry. */
     enum Stage {
+        /** Waits for the claimant's response. */
         CLAIMANT,
+        /** Waits for the partition to be read again. */
         RELOAD,
+        /** Waits for the service's response. */
         STATUS,
         ENDED
     }
 
-    private final long pauseMillis;
+    private final long repeatPauseMillis;
     private final Map<BookingKey, Inquiry> inquiries = new HashMap<>();
 
-    Inquiries(long pauseMillis) {
-        this.pauseMillis = pauseMillis;
+    Inquiries(long repeatPauseMillis) {
+        this.repeatPauseMillis = repeatPauseMillis;
     }
 
-    /** Begins an inquiry unless one is running or ended a short time ago. */
+    /** Begins an inquiry and returns true, unless one about this attempt is running or ended too recently to repeat. */
     boolean begin(BookingKey key, AttemptId attempt, long nowMillis) {
         Inquiry previous = inquiries.get(key);
         if (previous != null && previous.attempt.equals(attempt) && !mayRepeat(previous, nowMillis)) {
@@ -39,13 +45,13 @@
         return inquiry != null && inquiry.stage != Stage.ENDED;
     }
 
-    /** Whether an inquiry about this attempt is at this stage. */
+    /** Returns whether an inquiry about this attempt is at this stage. */
     boolean isAt(BookingKey key, AttemptId attempt, Stage stage) {
         Inquiry inquiry = inquiries.get(key);
         return inquiry != null && inquiry.attempt.equals(attempt) && inquiry.stage == stage;
     }
 
-    /** Whether an inquiry about this attempt ended so short a time ago that its result still counts. */
+    /** Returns whether an inquiry about this attempt ended so recently that its result is still valid. */
     boolean endedRecently(BookingKey key, AttemptId attempt, long nowMillis) {
         Inquiry inquiry = inquiries.get(key);
         return inquiry != null
@@ -54,7 +60,7 @@
                 && !mayRepeat(inquiry, nowMillis);
     }
 
-    void move(BookingKey key, Stage stage) {
+    void moveTo(BookingKey key, Stage stage) {
         inquiries.get(key).stage = stage;
     }
 
@@ -66,7 +72,7 @@
         }
     }
 
-    /** Bookings whose inquiry waits for the partition to be read again. */
+    /** Returns the bookings whose inquiry waits for the partition to be read again. */
     List<BookingKey> waitingForReload() {
         List<BookingKey> result = new ArrayList<>();
         inquiries.forEach((key, inquiry) -> {
@@ -81,12 +87,12 @@
         return inquiries.get(key).attempt;
     }
 
-    void forgetOld(long nowMillis) {
+    void removeExpired(long nowMillis) {
         inquiries.values().removeIf(inquiry -> mayRepeat(inquiry, nowMillis));
     }
 
     private boolean mayRepeat(Inquiry inquiry, long nowMillis) {
-        return inquiry.stage == Stage.ENDED && nowMillis - inquiry.endedMillis >= pauseMillis;
+        return inquiry.stage == Stage.ENDED && nowMillis - inquiry.endedMillis >= repeatPauseMillis;
     }
 
     private static final class Inquiry {
--- a/agatelane-core/src/main/java/io/agatelane/core/booking/command/Now.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/booking/command/Now.java
@@ -1,9 +1,9 @@
 package io.agatelane.core.booking.command;
 
 /**
- * Time of an event.
+ * Time of an event on two clocks.
  *
- * @param monotonicMillis for durations within this process
+ * @param monotonicMillis monotonic time, for durations within this process
  * @param epochMillis wall-clock time, only for stored time stamps
  */
 public record Now(long monotonicMillis, long epochMillis) {}
--- a/agatelane-core/src/main/java/io/agatelane/core/booking/command/PartitionMachine.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/booking/command/PartitionMachine.java
@@ -18,64 +18,64 @@
 import java.util.Optional;
 
 /**
- * State machine of one partition of the bookings on a router that acts as its owner. Each event returns the effects
- * that follow from it. Several routers may act as owner at a time; the compare-and-swap on the revision of the open
- * segment lets only one of two conflicting commits take effect. Not thread-safe.
+ * State machine of one partition of bookings on a router that acts as its owner. Each event returns the effects that
+ * the caller has to carry out. Several routers may act as owner at the same time; the compare-and-swap on the revision
+ * of the open segment lets only one of two conflicting commits take effect. Not thread-safe.
  */
 public final class PartitionMachine {
-    /** Ticket of an outcome that nobody waits for. */
+    /** Ticket of an outcome for which no reply is expected. */
     public static final long NO_TICKET = -1;
 
-    private final BookingRules rules;
+    private final BookingRules limits;
     private final String writerPrefix;
     private final BookingTable table;
     private final Inquiries inquiries;
     private final Map<Long, PendingClaim> claims = new HashMap<>();
     private final Map<BookingKey, List<PendingClaim>> waiting = new HashMap<>();
-    private final Map<AttemptId, List<PendingClaim>> waitingForAnswer = new HashMap<>();
+    private final Map<AttemptId, List<PendingClaim>> waitingForResponse = new HashMap<>();
     private final PendingOutcomes outcomes;
     private List<PendingClaim> queued = new ArrayList<>();
     private List<Effect> effects = new ArrayList<>();
     private Batch batch;
-    private boolean everLoaded;
+    private boolean loadedAsOwner;
     private boolean loadNeeded = true;
     private boolean loading;
     private boolean commitScheduled;
-    private boolean reconsidering;
+    private boolean reevaluating;
     private long outcomesDueMillis = Long.MAX_VALUE;
     private boolean outage;
     private long commitCount;
 
     /**
-     * Creates the machine of a partition that was not read yet.
+     * Creates the machine of a partition that has not been read.
      *
-     * @param writerPrefix differs for each process
+     * @param writerPrefix unique to this start of the process; names the commits
      */
-    public PartitionMachine(BookingRules rules, String writerPrefix) {
-        this.rules = rules;
+    public PartitionMachine(BookingRules limits, String writerPrefix) {
+        this.limits = limits;
         this.writerPrefix = writerPrefix;
-        this.table = new BookingTable(rules.retentionMillis(), rules.answerCacheBytes());
-        this.inquiries = new Inquiries(rules.resolvePauseMillis());
-        this.outcomes = new PendingOutcomes(rules.inlineAnswerBytes());
+        this.table = new BookingTable(limits.retentionMillis(), limits.responseCacheBytes());
+        this.inquiries = new Inquiries(limits.inquiryPauseMillis());
+        this.outcomes = new PendingOutcomes(limits.inlineResponseBytes());
     }
 
-    /** The router became the owner: what is in memory may be old and is read again. */
+    /** Event: the router became the owner. The state in memory may be stale and is read again. */
     public List<Effect> ownershipGained(Now now) {
-        everLoaded = false;
+        loadedAsOwner = false;
         loadNeeded = true;
         continueWork(now);
-        return drain();
+        return takeEffects();
     }
 
-    /** A router asks for the claim of a booking. */
+    /** Event: a router requests the claim of a booking. */
     public List<Effect> claim(Now now, long ticket, BookingKey key, AttemptId attempt, String requestDigest) {
         PendingClaim claim = new PendingClaim(ticket, key, attempt, requestDigest);
         claims.put(ticket, claim);
-        consider(now, claim);
-        return drain();
+        evaluate(now, claim);
+        return takeEffects();
     }
 
-    /** The time that a claim may wait has passed. */
+    /** Event: the longest time for which a claim may wait has passed. */
     public List<Effect> waitExpired(Now now, long ticket) {
         PendingClaim claim = claims.get(ticket);
         if (claim != null) {
@@ -86,41 +86,41 @@
                 reply(claim, Verdict.IN_PROGRESS, Optional.of(booking.attempt()), Optional.empty());
             } else {
                 claim.maybeWritten |= batch != null;
-                refuse(claim);
+                replyUnavailable(claim);
             }
             queued.remove(claim);
         }
-        return drain();
+        return takeEffects();
     }
 
-    /** A claimant reports how its attempt ended. */
+    /** Event: a claimant reports how its attempt ended. */
     public List<Effect> outcome(Now now, long ticket, BookingKey key, AttemptId attempt, Outcome outcome) {
         addOutcome(now, ticket, key, attempt, outcome);
-        return drain();
+        return takeEffects();
     }
 
-    /** The time to collect claims has passed. */
+    /** Event: the delay that collects claims and outcomes into one commit, or follows a failure, has passed. */
     public List<Effect> commitDue(Now now) {
         commitScheduled = false;
         continueWork(now);
-        return drain();
+        return takeEffects();
     }
 
-    /** The partition was read. */
+    /** Event: the partition was read. A revision lower than the known one means that the platform was restored. */
     public List<Effect> loaded(Now now, LoadedPartition partition) {
         if (partition.revision() < table.revision()) {
-            outcomes.keep(table, now.epochMillis());
+            outcomes.addUnrecorded(table, now.epochMillis());
             outcomesDueMillis = now.monotonicMillis();
         }
         table.load(partition);
         if (!table.isComplete()) {
-            // A booking of the missing segment would run again.
-            everLoaded = false;
+            // Without the missing segment, its bookings would be granted and run again.
+            loadedAsOwner = false;
             return loadFailed(now);
         }
         loading = false;
         loadNeeded = false;
-        everLoaded = true;
+        loadedAsOwner = true;
         outage = false;
         if (batch != null) {
             if (partition.open().writer().equals(batch.open.writer())) {
@@ -132,62 +132,62 @@
         for (BookingKey key : inquiries.waitingForReload()) {
             inquireAfterReload(now, key);
         }
-        reconsiderAll(now);
+        reevaluateAll(now);
         continueWork(now);
-        return drain();
+        return takeEffects();
     }
 
-    /** The partition could not be read. */
+    /** Event: the partition could not be read. */
     public List<Effect> loadFailed(Now now) {
         loading = false;
         platformFailed(now);
-        inquiries.waitingForReload().forEach(key -> askService(now, key));
-        return drain();
+        inquiries.waitingForReload().forEach(key -> queryService(now, key));
+        return takeEffects();
     }
 
-    /** The swap took effect. */
+    /** Event: the compare-and-swap took effect, and the open segment now has this revision. */
     public List<Effect> swapWon(Now now, long revision) {
         batch.sealed.ifPresent(write -> table.addSealed(write.name(), write.segment()));
-        table.adopt(revision, batch.open);
+        table.replaceOpenSegment(revision, batch.open);
         outage = false;
         finishBatch();
-        reconsiderAll(now);
+        reevaluateAll(now);
         continueWork(now);
-        return drain();
+        return takeEffects();
     }
 
-    /** Another router wrote the segment first; the swap had no effect. */
+    /** Event: the compare-and-swap had no effect, because another router had changed the open segment. */
     public List<Effect> swapLost(Now now) {
         requeueBatch();
         loadNeeded = true;
         continueWork(now);
-        return drain();
+        return takeEffects();
     }
 
-    /** The platform is out; the swap had no effect. */
+    /** Event: the compare-and-swap had no effect, because the platform is unavailable. */
     public List<Effect> swapRefused(Now now) {
         platformFailed(now);
-        return drain();
+        return takeEffects();
     }
 
-    /** The swap may have taken effect. */
+    /** Event: it is not known whether the compare-and-swap took effect; the partition is read again to find out. */
     public List<Effect> swapUnknown(Now now) {
         batch.allClaims().forEach(claim -> claim.maybeWritten = true);
         loadNeeded = true;
         startLoad();
-        return drain();
+        return takeEffects();
     }
 
-    /** The claimant, or the membership, told about an attempt. */
+    /** Event: the claimant reported the state of an attempt, or the membership reported that the claimant is dead. */
     public List<Effect> claimantAnswered(
-            Now now, BookingKey key, AttemptId attempt, ClaimantState state, Optional<Answer> answer) {
+            Now now, BookingKey key, AttemptId attempt, ClaimantState state, Optional<Answer> response) {
         if (!inquiries.isAt(key, attempt, Inquiries.Stage.CLAIMANT)) {
-            return drain();
+            return takeEffects();
         }
         switch (state) {
             case FINISHED -> {
                 inquiries.end(key, now.monotonicMillis());
-                addOutcome(now, NO_TICKET, key, attempt, Outcome.answered(answer.orElseThrow()));
+                addOutcome(now, NO_TICKET, key, attempt, Outcome.answered(response.orElseThrow()));
             }
             case NEVER_SENT -> {
                 inquiries.end(key, now.monotonicMillis());
@@ -195,28 +195,28 @@
             }
             case SENT_WITHOUT_ANSWER -> {
                 addOutcome(now, NO_TICKET, key, attempt, Outcome.unknown());
-                askService(now, key);
+                queryService(now, key);
             }
             case GONE -> reloadForInquiry(now, key);
             default -> endWithoutResult(now, key, attempt, state);
         }
-        return drain();
+        return takeEffects();
     }
 
-    /** The service told whether the call ran; an empty answer means that this is not known. */
-    public List<Effect> statusAnswered(Now now, BookingKey key, AttemptId attempt, Optional<Answer> answer) {
+    /** Event: the service reported whether the call ran; an empty response means that this is not known. */
+    public List<Effect> statusAnswered(Now now, BookingKey key, AttemptId attempt, Optional<Answer> response) {
         if (inquiries.isAt(key, attempt, Inquiries.Stage.STATUS)) {
             inquiries.end(key, now.monotonicMillis());
-            if (answer.isPresent()) {
-                addOutcome(now, NO_TICKET, key, attempt, Outcome.answered(answer.get()));
+            if (response.isPresent()) {
+                addOutcome(now, NO_TICKET, key, attempt, Outcome.answered(response.get()));
             } else {
-                wake(now, key);
+                reevaluateWaiting(now, key);
             }
         }
-        return drain();
+        return takeEffects();
     }
 
-    /** A long answer was written, or not. */
+    /** Event: a long response was written, or the write failed. */
     public List<Effect> answerStored(Now now, BookingKey key, AttemptId attempt, boolean stored) {
         PendingOutcome pending = outcomes.get(key);
         if (pending != null && pending.attempt.equals(attempt)) {
@@ -227,23 +227,23 @@
                 replyNotDurable(pending);
             }
         }
-        return drain();
+        return takeEffects();
     }
 
-    /** A long answer was read; empty when it could not be read. */
-    public List<Effect> answerLoaded(Now now, AttemptId attempt, Optional<Answer> answer) {
-        answer.ifPresent(present -> table.cacheAnswer(attempt, present));
-        List<PendingClaim> waiters = waitingForAnswer.remove(attempt);
+    /** Event: a long response was read; empty when it could not be read. */
+    public List<Effect> answerLoaded(Now now, AttemptId attempt, Optional<Answer> response) {
+        response.ifPresent(value -> table.cacheResponse(attempt, value));
+        List<PendingClaim> waiters = waitingForResponse.remove(attempt);
         if (waiters != null) {
-            Verdict verdict = answer.isPresent() ? Verdict.FINISHED : Verdict.UNKNOWN;
-            waiters.forEach(claim -> reply(claim, verdict, Optional.of(attempt), answer));
+            Verdict verdict = response.isPresent() ? Verdict.FINISHED : Verdict.UNKNOWN;
+            waiters.forEach(claim -> reply(claim, verdict, Optional.of(attempt), response));
         }
-        return drain();
+        return takeEffects();
     }
 
-    /** Periodic event, about once a second: repeats inquiries for claims that wait, and writes that failed. */
+    /** Event: about once a second. Repeats inquiries for claims that wait, and writes that failed. */
     public List<Effect> tick(Now now) {
-        inquiries.forgetOld(now.monotonicMillis());
+        inquiries.removeExpired(now.monotonicMillis());
         for (BookingKey key : List.copyOf(waiting.keySet())) {
             Booking booking = find(key, now);
             if (booking != null) {
@@ -252,52 +252,52 @@
         }
         outcomes.forEach((key, pending) -> {
             if (!pending.writable && pending.tickets.isEmpty()) {
-                storeAnswer(key, pending);
+                storeResponse(key, pending);
             }
         });
         continueWork(now);
-        return drain();
+        return takeEffects();
     }
 
-    /** Whether the partition was read since the router became its owner. */
+    /** Returns whether the partition was read since the router became its owner. */
     public boolean isLoaded() {
-        return everLoaded;
+        return loadedAsOwner;
     }
 
-    /** Whether nothing is waiting or unrecorded, so that the memory of the partition may be given up. */
+    /** Returns whether nothing is waiting or unrecorded, so that this machine may be dropped. */
     public boolean isIdle() {
         return claims.isEmpty() && outcomes.isEmpty() && batch == null && !loading;
     }
 
-    private List<Effect> drain() {
+    private List<Effect> takeEffects() {
         List<Effect> result = effects;
         effects = new ArrayList<>();
         return result;
     }
 
-    // What is recorded, corrected by outcomes that are known here and not recorded yet.
+    // Returns the recorded state with the outcomes applied that are known here and not yet recorded.
     private Booking find(BookingKey key, Now now) {
-        return outcomes.correct(key, table.find(key, now.epochMillis()), now.epochMillis());
+        return outcomes.applyTo(key, table.find(key, now.epochMillis()), now.epochMillis());
     }
 
-    private void consider(Now now, PendingClaim claim) {
+    private void evaluate(Now now, PendingClaim claim) {
         Booking booking = find(claim.key, now);
-        boolean answered = booking != null && booking.state() == BookingState.FINISHED;
-        if (loadNeeded && !answered) {
+        boolean finished = booking != null && booking.state() == BookingState.FINISHED;
+        if (loadNeeded && !finished) {
             if (!outage) {
                 queued.add(claim);
                 continueWork(now);
                 return;
             }
-            if (!everLoaded) {
-                refuseUnread(claim);
+            if (!loadedAsOwner) {
+                replyUnknown(claim);
                 return;
             }
         }
         switch (ClaimDecision.of(booking, claim.attempt, claim.requestDigest)) {
             case WRITE -> {
                 if (outage) {
-                    refuseUnread(claim);
+                    replyUnknown(claim);
                 } else {
                     queued.add(claim);
                     scheduleClaims(now);
@@ -305,7 +305,7 @@
             }
             case GRANT_AGAIN -> reply(claim, Verdict.GRANTED, Optional.of(claim.attempt), Optional.empty());
             case MISMATCH -> reply(claim, Verdict.MISMATCH, Optional.empty(), Optional.empty());
-            case GIVE_ANSWER -> giveAnswer(claim, booking);
+            case RETURN_RESPONSE -> replyFinished(claim, booking);
             case INQUIRE -> {
                 if (inquiries.endedRecently(claim.key, booking.attempt(), now.monotonicMillis())) {
                     reply(claim, Verdict.UNKNOWN, Optional.of(booking.attempt()), Optional.empty());
@@ -322,44 +322,44 @@
         inquire(now, booking);
     }
 
-    private void giveAnswer(PendingClaim claim, Booking booking) {
-        Answer answer = table.answer(booking);
-        if (answer != null) {
-            reply(claim, Verdict.FINISHED, Optional.of(booking.attempt()), Optional.of(answer));
+    private void replyFinished(PendingClaim claim, Booking booking) {
+        Answer response = table.response(booking);
+        if (response != null) {
+            reply(claim, Verdict.FINISHED, Optional.of(booking.attempt()), Optional.of(response));
             return;
         }
-        List<PendingClaim> waiters = waitingForAnswer.get(booking.attempt());
+        List<PendingClaim> waiters = waitingForResponse.get(booking.attempt());
         if (waiters == null) {
             waiters = new ArrayList<>();
-            waitingForAnswer.put(booking.attempt(), waiters);
+            waitingForResponse.put(booking.attempt(), waiters);
             effects.add(new Effect.LoadAnswer(claim.key, booking.attempt()));
         }
         waiters.add(claim);
     }
 
-    private void reply(PendingClaim claim, Verdict verdict, Optional<AttemptId> claimant, Optional<Answer> answer) {
+    private void reply(PendingClaim claim, Verdict verdict, Optional<AttemptId> claimant, Optional<Answer> response) {
         if (!claim.replied) {
             claim.replied = true;
             claims.remove(claim.ticket);
-            effects.add(new Effect.Reply(claim.ticket, verdict, claimant, answer));
+            effects.add(new Effect.Reply(claim.ticket, verdict, claimant, response));
         }
     }
 
-    private void refuse(PendingClaim claim) {
-        reply(claim, Verdict.UNAVAILABLE, claim.written(), Optional.empty());
+    private void replyUnavailable(PendingClaim claim) {
+        reply(claim, Verdict.UNAVAILABLE, claim.attemptIfMaybeWritten(), Optional.empty());
     }
 
-    // An earlier attempt may have run, so it must not be said that the call did not run. What was read before an outage
-    // does not show it: another router may have acted as owner and written since.
-    private void refuseUnread(PendingClaim claim) {
-        reply(claim, Verdict.UNKNOWN, claim.written(), Optional.empty());
+    // An earlier attempt may have run, so the reply must not state that the call did not run. The state that was read
+    // before an outage does not prove it: another router may have acted as owner and written since.
+    private void replyUnknown(PendingClaim claim) {
+        reply(claim, Verdict.UNKNOWN, claim.attemptIfMaybeWritten(), Optional.empty());
     }
 
     private void addOutcome(Now now, long ticket, BookingKey key, AttemptId attempt, Outcome outcome) {
         boolean added = outcomes.add(key, attempt, outcome);
         PendingOutcome pending = outcomes.get(key);
         if (added && !pending.writable) {
-            storeAnswer(key, pending);
+            storeResponse(key, pending);
         }
         if (ticket != NO_TICKET) {
             pending.tickets.add(ticket);
@@ -369,10 +369,10 @@
             dropQueued(attempt);
         }
         if (released && table.find(key, now.epochMillis()) == null) {
-            // Another owner may have written the claim that is released.
+            // Another owner may have written the claim that this outcome releases.
             loadNeeded = true;
         }
-        wake(now, key);
+        reevaluateWaiting(now, key);
         if (outage) {
             replyNotDurable(pending);
         } else {
@@ -380,17 +380,17 @@
         }
     }
 
-    private void storeAnswer(BookingKey key, PendingOutcome pending) {
-        Answer answer = pending.outcome.answer().orElseThrow();
-        table.cacheAnswer(pending.attempt, answer);
-        effects.add(new Effect.StoreAnswer(key, pending.attempt, answer));
+    private void storeResponse(BookingKey key, PendingOutcome pending) {
+        Answer response = pending.outcome.answer().orElseThrow();
+        table.cacheResponse(pending.attempt, response);
+        effects.add(new Effect.StoreAnswer(key, pending.attempt, response));
     }
 
     private void dropQueued(AttemptId attempt) {
         for (PendingClaim claim : List.copyOf(queued)) {
             if (claim.attempt.equals(attempt)) {
                 queued.remove(claim);
-                refuse(claim);
+                replyUnavailable(claim);
             }
         }
     }
@@ -400,43 +400,43 @@
         pending.tickets.clear();
     }
 
-    private void wake(Now now, BookingKey key) {
+    private void reevaluateWaiting(Now now, BookingKey key) {
         List<PendingClaim> waiters = waiting.remove(key);
         if (waiters != null) {
-            waiters.forEach(claim -> consider(now, claim));
+            waiters.forEach(claim -> evaluate(now, claim));
         }
     }
 
-    private void reconsiderAll(Now now) {
-        // These claims have waited already; they are committed without another delay.
-        reconsidering = true;
-        List<PendingClaim> again = queued;
+    private void reevaluateAll(Now now) {
+        // These claims have already waited, so they are committed without another delay.
+        reevaluating = true;
+        List<PendingClaim> requeued = queued;
         queued = new ArrayList<>();
-        again.stream().filter(claim -> !claim.replied).forEach(claim -> consider(now, claim));
-        List.copyOf(waiting.keySet()).forEach(key -> wake(now, key));
-        reconsidering = false;
+        requeued.stream().filter(claim -> !claim.replied).forEach(claim -> evaluate(now, claim));
+        List.copyOf(waiting.keySet()).forEach(key -> reevaluateWaiting(now, key));
+        reevaluating = false;
     }
 
     private void scheduleClaims(Now now) {
         if (loadNeeded || batch != null || loading) {
             continueWork(now);
-        } else if (!commitScheduled && !reconsidering) {
+        } else if (!commitScheduled && !reevaluating) {
             commitScheduled = true;
-            effects.add(new Effect.CommitSoon(rules.groupCommitMillis()));
+            effects.add(new Effect.CommitSoon(limits.groupCommitMillis()));
         }
     }
 
     private void scheduleOutcomes(Now now) {
         if (outcomesDueMillis == Long.MAX_VALUE) {
-            outcomesDueMillis = now.monotonicMillis() + rules.outcomeCommitMillis();
-            effects.add(new Effect.CommitSoon(rules.outcomeCommitMillis()));
+            outcomesDueMillis = now.monotonicMillis() + limits.outcomeCommitMillis();
+            effects.add(new Effect.CommitSoon(limits.outcomeCommitMillis()));
         }
         if (loadNeeded && !outage) {
             continueWork(now);
         }
     }
 
-    // Does the next platform call if one is due and none is running.
+    // Starts the next store call if one is due and none is running.
     private void continueWork(Now now) {
         if (batch != null || loading) {
             return;
@@ -459,7 +459,7 @@
     }
 
     private void startCommit(Now now) {
-        BatchBuilder builder = new BatchBuilder(rules, table, now);
+        BatchBuilder builder = new BatchBuilder(limits, table, now);
         outcomesDueMillis = Long.MAX_VALUE;
         for (Map.Entry<BookingKey, PendingOutcome> entry : outcomes.all().entrySet()) {
             if (entry.getValue().writable && !builder.add(entry.getKey(), entry.getValue())) {
@@ -475,7 +475,7 @@
             }
             if (find(claim.key, now) != null) {
                 // An outcome arrived after the claim was queued.
-                consider(now, claim);
+                evaluate(now, claim);
             } else if (!builder.add(claim)) {
                 queued.add(claim);
             }
@@ -487,13 +487,13 @@
             effects.add(new Effect.Swap(table.revision(), batch.open, batch.sealed));
             return;
         }
-        settle(builder.outcomes());
-        // Running calls alone fill the segment: there is no room for more until one of them ends.
-        queued.forEach(this::refuse);
+        confirmRecorded(builder.outcomes());
+        // The claims of running calls fill the segment, so there is no room for more until one of them ends.
+        queued.forEach(this::replyUnavailable);
         queued.clear();
     }
 
-    private void settle(Map<BookingKey, PendingOutcome> recorded) {
+    private void confirmRecorded(Map<BookingKey, PendingOutcome> recorded) {
         recorded.forEach((key, pending) -> {
             outcomes.remove(key, pending);
             pending.tickets.forEach(ticket -> effects.add(new Effect.ReplyOutcome(ticket, true)));
@@ -502,41 +502,41 @@
     }
 
     private void finishBatch() {
-        Batch done = batch;
+        Batch committed = batch;
         batch = null;
-        for (PendingClaim claim : done.allClaims()) {
+        for (PendingClaim claim : committed.allClaims()) {
             reply(claim, Verdict.GRANTED, Optional.of(claim.attempt), Optional.empty());
         }
-        settle(done.outcomes);
-        if (!done.expiredSealed.isEmpty()) {
-            effects.add(new Effect.DeleteSealed(List.copyOf(done.expiredSealed)));
+        confirmRecorded(committed.outcomes);
+        if (!committed.expiredSealed.isEmpty()) {
+            effects.add(new Effect.DeleteSealed(List.copyOf(committed.expiredSealed)));
         }
     }
 
     private void requeueBatch() {
-        List<PendingClaim> again = new ArrayList<>(batch.allClaims());
+        List<PendingClaim> requeued = new ArrayList<>(batch.allClaims());
         if (!batch.outcomes.isEmpty()) {
             outcomesDueMillis = Long.MIN_VALUE;
         }
         batch = null;
-        again.addAll(queued);
-        queued = again;
+        requeued.addAll(queued);
+        queued = requeued;
     }
 
     private void platformFailed(Now now) {
         outage = true;
         loadNeeded = true;
-        effects.add(new Effect.CommitSoon(rules.outagePauseMillis()));
+        effects.add(new Effect.CommitSoon(limits.outagePauseMillis()));
         if (batch != null) {
             requeueBatch();
         }
         List<PendingClaim> refused = queued;
         queued = new ArrayList<>();
         for (PendingClaim claim : refused) {
-            if (everLoaded) {
-                consider(now, claim);
+            if (loadedAsOwner) {
+                evaluate(now, claim);
             } else {
-                refuseUnread(claim);
+                replyUnknown(claim);
             }
         }
         outcomes.all().values().forEach(this::replyNotDurable);
@@ -551,35 +551,35 @@
 
     private void reloadForInquiry(Now now, BookingKey key) {
         if (outage) {
-            askService(now, key);
+            queryService(now, key);
             return;
         }
-        inquiries.move(key, Inquiries.Stage.RELOAD);
+        inquiries.moveTo(key, Inquiries.Stage.RELOAD);
         loadNeeded = true;
         continueWork(now);
     }
 
-    // The claimant forgets an attempt only after its outcome is recorded, so the answer "gone" is final only if the
-    // claim is still open in a segment that was read afterwards.
+    // The claimant forgets an attempt only after its outcome is recorded, so the state GONE is final only if the claim
+    // is still open in a segment that was read afterwards.
     private void inquireAfterReload(Now now, BookingKey key) {
         Booking booking = find(key, now);
-        boolean open = booking != null
+        boolean claimOpen = booking != null
                 && booking.state() != BookingState.FINISHED
                 && booking.attempt().equals(inquiries.attempt(key));
-        if (open) {
-            askService(now, key);
+        if (claimOpen) {
+            queryService(now, key);
         } else {
             inquiries.end(key, now.monotonicMillis());
         }
     }
 
-    private void askService(Now now, BookingKey key) {
+    private void queryService(Now now, BookingKey key) {
         AttemptId attempt = inquiries.attempt(key);
         Booking booking = find(key, now);
         if (booking != null && booking.state() == BookingState.CLAIMED) {
             addOutcome(now, NO_TICKET, key, attempt, Outcome.unknown());
         }
-        inquiries.move(key, Inquiries.Stage.STATUS);
+        inquiries.moveTo(key, Inquiries.Stage.STATUS);
         effects.add(new Effect.CallStatus(key, attempt));
     }
 
@@ -589,12 +589,12 @@
                 && booking.state() == BookingState.OUTCOME_UNKNOWN
                 && booking.attempt().equals(attempt);
         if (unknown && state == ClaimantState.UNREACHABLE) {
-            askService(now, key);
+            queryService(now, key);
             return;
         }
         inquiries.end(key, now.monotonicMillis());
         if (unknown) {
-            wake(now, key);
+            reevaluateWaiting(now, key);
         }
     }
 }
--- a/agatelane-core/src/main/java/io/agatelane/core/booking/command/PendingClaim.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/booking/command/PendingClaim.java
@@ -4,7 +4,7 @@
 import io.agatelane.core.booking.BookingKey;
 import java.util.Optional;
 
-/** A claim without an answer. */
+/** A claim that has received no reply. */
 final class PendingClaim {
     final long ticket;
     final BookingKey key;
@@ -23,8 +23,8 @@
         this.requestDigest = requestDigest;
     }
 
-    /** The attempt of this claim if the platform may hold it; the caller has to release it then. */
-    Optional<AttemptId> written() {
+    /** Returns this claim's attempt if the store may hold the claim; the requesting router has to release it then. */
+    Optional<AttemptId> attemptIfMaybeWritten() {
         return maybeWritten ? Optional.of(attempt) : Optional.empty();
     }
 }
--- a/agatelane-core/src/main/java/io/agatelane/core/booking/command/PendingOutcome.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/booking/command/PendingOutcome.java
@@ -5,13 +5,13 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** An outcome that is known here and not recorded yet. */
+/** An outcome that this router knows and that is not yet recorded in the store. */
 final class PendingOutcome {
     final AttemptId attempt;
     final Outcome outcome;
     final List<Long> tickets = new ArrayList<>();
 
-    /** False while a long answer is on its way to its own key. */
+    /** False while a long response is being written under its own key. */
     boolean writable;
 
     PendingOutcome(AttemptId attempt, Outcome outcome, boolean writable) {
--- a/agatelane-core/src/main/java/io/agatelane/core/booking/command/PendingOutcomes.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/booking/command/PendingOutcomes.java
@@ -11,13 +11,13 @@
 import java.util.Optional;
 import java.util.function.BiConsumer;
 
-/** Outcomes that are known here and not recorded yet; they correct what is recorded. */
+/** Outcomes that this router knows and that are not yet recorded; they take precedence over the recorded state. */
 final class PendingOutcomes {
-    private final int inlineAnswerBytes;
+    private final int inlineResponseBytes;
     private final Map<BookingKey, PendingOutcome> outcomes = new LinkedHashMap<>();
 
-    PendingOutcomes(int inlineAnswerBytes) {
-        this.inlineAnswerBytes = inlineAnswerBytes;
+    PendingOutcomes(int inlineResponseBytes) {
+        this.inlineResponseBytes = inlineResponseBytes;
     }
 
     boolean isEmpty() {
@@ -36,22 +36,22 @@
         outcomes.forEach(action);
     }
 
-    /** Removes a recorded outcome unless better knowledge has replaced it. */
+    /** Removes an outcome that is now recorded, unless a more certain one has replaced it. */
     void remove(BookingKey key, PendingOutcome recorded) {
         outcomes.remove(key, recorded);
     }
 
-    /** Adds an outcome; returns false when the same or better knowledge is here already. */
+    /** Adds an outcome. Returns false when an equally or more certain one of the same attempt is already present. */
     boolean add(BookingKey key, AttemptId attempt, Outcome outcome) {
         PendingOutcome previous = outcomes.get(key);
-        boolean better = previous == null
+        boolean moreCertain = previous == null
                 || !previous.attempt.equals(attempt)
                 || previous.outcome.kind().compareTo(outcome.kind()) < 0;
-        if (!better) {
+        if (!moreCertain) {
             return false;
         }
         boolean inline = outcome.answer()
-                .map(answer -> answer.body().length <= inlineAnswerBytes)
+                .map(value -> value.body().length <= inlineResponseBytes)
                 .orElse(true);
         PendingOutcome pending = new PendingOutcome(attempt, outcome, inline);
         if (previous != null) {
@@ -62,18 +62,18 @@
     }
 
     /**
-     * Corrects what is recorded about a booking.
+     * Applies the pending outcome, if there is one, to the recorded state of a booking.
      *
      * @param booking recorded state; null when there is none
-     * @return the corrected state; null when there is none
+     * @return the resulting state; null when there is none
      */
-    Booking correct(BookingKey key, Booking booking, long nowEpochMillis) {
+    Booking applyTo(BookingKey key, Booking booking, long nowEpochMillis) {
         PendingOutcome pending = outcomes.get(key);
         if (pending == null) {
             return booking;
         }
         if (booking == null) {
-            return withoutEntry(key, pending, nowEpochMillis).orElse(null);
+            return entryWithoutBooking(key, pending, nowEpochMillis).orElse(null);
         }
         if (booking.state() == BookingState.FINISHED || !booking.attempt().equals(pending.attempt)) {
             return booking;
@@ -86,10 +86,10 @@
     }
 
     /**
-     * Entry for an outcome whose booking is not recorded, because it expired or the platform was restored to an older
-     * state. A call that was sent is recorded all the same; its request digest is not known.
+     * Returns the entry for an outcome whose booking is not recorded, because it expired or the platform was restored
+     * to an older state. A call that was sent is still recorded; its request digest is not known.
      */
-    static Optional<Booking> withoutEntry(BookingKey key, PendingOutcome pending, long nowEpochMillis) {
+    static Optional<Booking> entryWithoutBooking(BookingKey key, PendingOutcome pending, long nowEpochMillis) {
         Booking booking = Booking.claimed(key, pending.attempt, "", nowEpochMillis);
         return switch (pending.outcome.kind()) {
             case ANSWERED -> Optional.of(booking.withFinished(pending.outcome.answer()));
@@ -99,13 +99,13 @@
     }
 
     /**
-     * Keeps what is in memory when the platform was restored to an older state, so that it is recorded again. A call
-     * that may be running becomes unknown until its outcome arrives.
+     * Adds the bookings in memory after the platform was restored to an older state, so that they are recorded again.
+     * The outcome of a call that may be running is unknown until it is received.
      */
-    void keep(BookingTable table, long nowEpochMillis) {
+    void addUnrecorded(BookingTable table, long nowEpochMillis) {
         for (Booking booking : table.allBookings(nowEpochMillis)) {
-            Answer answer = booking.state() == BookingState.FINISHED ? table.answer(booking) : null;
-            add(booking.key(), booking.attempt(), answer == null ? Outcome.unknown() : Outcome.answered(answer));
+            Answer response = booking.state() == BookingState.FINISHED ? table.response(booking) : null;
+            add(booking.key(), booking.attempt(), response == null ? Outcome.unknown() : Outcome.answered(response));
         }
     }
 }
--- a/agatelane-core/src/main/java/io/agatelane/core/booking/package-info.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/booking/package-info.java
@@ -1,2 +1,5 @@
-/** Claims and outcomes of calls that may run at most once: the values of one partition. */
+/**
+ * Records of calls that run at most once. A booking is the stored claim and outcome of such a call; bookings are
+ * divided into partitions, each of which is stored in segments.
+ */
 package io.agatelane.core.booking;
--- a/agatelane-core/src/main/java/io/agatelane/core/booking/query/ClaimDecision.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/booking/query/ClaimDecision.java
@@ -3,23 +3,23 @@
 import io.agatelane.core.booking.AttemptId;
 import io.agatelane.core.booking.Booking;
 
-/** What follows for a claim from the recorded state of its booking. */
+/** What to do with a claim, given the recorded state of its booking. */
 public enum ClaimDecision {
-    /** No attempt is recorded: the claim is to be written. */
+    /** No attempt is recorded, so the claim has to be written. */
     WRITE,
-    /** The claim is recorded already for the same attempt. */
+    /** The claim is already recorded for the same attempt, whose earlier reply was lost. */
     GRANT_AGAIN,
-    /** Another attempt holds the claim. */
+    /** Another attempt holds the claim; wait for its outcome. */
     WAIT,
-    /** The answer is known. */
-    GIVE_ANSWER,
-    /** The outcome is not known and may be found out. */
+    /** The call has finished; reply with its response. */
+    RETURN_RESPONSE,
+    /** The outcome is not known; query the claimant or the service for it. */
     INQUIRE,
-    /** The key was used with another request. */
+    /** The key was used with a different request. */
     MISMATCH;
 
     /**
-     * Decides about a claim.
+     * Decides what to do with a claim.
      *
      * @param booking recorded state; null when there is none
      */
@@ -31,7 +31,7 @@
             return MISMATCH;
         }
         return switch (booking.state()) {
-            case FINISHED -> GIVE_ANSWER;
+            case FINISHED -> RETURN_RESPONSE;
             case OUTCOME_UNKNOWN -> INQUIRE;
             case CLAIMED -> booking.attempt().equals(attempt) ? GRANT_AGAIN : WAIT;
         };
--- a/agatelane-core/src/main/java/io/agatelane/core/booking/query/SegmentSize.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/booking/query/SegmentSize.java
@@ -3,28 +3,29 @@
 import io.agatelane.core.booking.Booking;
 import java.util.Collection;
 
-/** Estimated size of stored bookings. */
+/** Estimates the size of bookings in the stored format. */
 public final class SegmentSize {
-    // Tags, lengths, numbers and the state of an entry take less than this in the stored format.
+    // Upper bound for the tags, lengths, numbers and state of a stored entry.
     private static final int FIXED_BYTES = 64;
-    // A character takes at most three bytes in UTF-8; keys of other than ASCII characters are rare.
-    private static final int DIGEST_DIVISOR = 2;
+    // The digest is a hexadecimal text, two characters a byte. Other characters are counted as one byte each: in UTF-8
+    // a character takes at most three bytes, but keys with characters outside ASCII are rare.
+    private static final int DIGEST_CHARS_PER_BYTE = 2;
 
     private SegmentSize() {}
 
-    /** Estimated size in bytes of one entry. */
+    /** Returns the estimated size in bytes of one entry. */
     public static int of(Booking booking) {
-        int answerBytes = booking.answer()
-                .map(answer -> answer.body().length + answer.contentType().length())
+        int responseBytes = booking.answer()
+                .map(response -> response.body().length + response.contentType().length())
                 .orElse(0);
         return FIXED_BYTES
                 + booking.key().canonical().length()
                 + booking.attempt().vmName().length()
-                + booking.requestDigest().length() / DIGEST_DIVISOR
-                + answerBytes;
+                + booking.requestDigest().length() / DIGEST_CHARS_PER_BYTE
+                + responseBytes;
     }
 
-    /** Estimated size in bytes of several entries. */
+    /** Returns the estimated size in bytes of several entries. */
     public static int of(Collection<Booking> bookings) {
         return bookings.stream().mapToInt(SegmentSize::of).sum();
     }
--- a/agatelane-core/src/main/java/io/agatelane/core/booking/query/package-info.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/booking/query/package-info.java
@@ -1,2 +1,2 @@
-/** Read-only decisions about bookings. */
+/** Side-effect-free functions on bookings: the decision about a claim and the size of stored entries. */
 package io.agatelane.core.booking.query;
--- a/agatelane-core/src/test/java/io/agatelane/core/booking/command/PartitionMachineTest.java
+++ b/agatelane-core/src/test/java/io/agatelane/core/booking/command/PartitionMachineTest.java
@@ -22,7 +22,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** State machine of one partition, event by event. */
+/** Tests the state machine of one partition event by event. */
 public class PartitionMachineTest {
     private static final BookingKey KEY = new BookingKey("aargau", "permits", "key-1");
     private static final BookingKey OTHER = new BookingKey("aargau", "permits", "key-2");
@@ -39,7 +39,7 @@
         nowMillis = 0;
     }
 
-    /** Guards against a write for each claim. */
+    /** Guards against one store write per claim: claims that arrive together must share a compare-and-swap. */
     @Test
     public void claimsShareOneSwap() {
         load(Segment.empty(), 0);
@@ -53,21 +53,21 @@
         assertEquals(reply(effects, 2).verdict(), Verdict.GRANTED);
     }
 
-    /** Guards against a lost response that makes an attempt wait for itself. */
+    /** Guards against an attempt that waits for itself when it claims again after a lost response. */
     @Test
     public void sameAttemptIsGrantedTwice() {
         grant(KEY, FIRST, 1);
         assertEquals(reply(machine.claim(now(), 5, KEY, FIRST, DIGEST), 5).verdict(), Verdict.GRANTED);
     }
 
-    /** Guards against a second run when another request uses the key, and against a retry that is taken for one. */
+    /** Guards against a different request with the same key that is run, or treated as a retry of the first request. */
     @Test
     public void otherRequestWithTheKeyIsRefused() {
         grant(KEY, FIRST, 1);
         assertEquals(reply(machine.claim(now(), 5, KEY, SECOND, "cd"), 5).verdict(), Verdict.MISMATCH);
     }
 
-    /** Guards against retries that call the platform, and against an answer that is held until it is recorded. */
+    /** Guards against retries that call the platform, and against a response that is held back until it is recorded. */
     @Test
     public void retriesJoinTheRunningAttempt() {
         grant(KEY, FIRST, 1);
@@ -75,15 +75,15 @@
         assertEquals(only(Effect.QueryClaimant.class, waits).attempt(), FIRST);
         machine.claimantAnswered(now(), KEY, FIRST, ClaimantState.RUNNING, Optional.empty());
         assertTrue(machine.claim(now(), 6, KEY, SECOND, DIGEST).isEmpty(), "no second inquiry at once");
-        List<Effect> effects = machine.outcome(now(), 7, KEY, FIRST, Outcome.answered(answer(10)));
-        assertEquals(reply(effects, 5).answer(), Optional.of(answer(10)));
-        assertEquals(reply(effects, 6).answer(), Optional.of(answer(10)));
+        List<Effect> effects = machine.outcome(now(), 7, KEY, FIRST, Outcome.answered(response(10)));
+        assertEquals(reply(effects, 5).answer(), Optional.of(response(10)));
+        assertEquals(reply(effects, 6).answer(), Optional.of(response(10)));
         assertTrue(none(Effect.ReplyOutcome.class, effects), "not recorded yet");
         List<Effect> late = machine.claim(now(), 8, KEY, new AttemptId("vm-3", 1, 1), DIGEST);
         assertEquals(reply(late, 8).verdict(), Verdict.FINISHED);
     }
 
-    /** Guards against a claim without an end that keeps its caller waiting, or that is said not to have run. */
+    /** Guards against an attempt that never ends and keeps its caller waiting, or is reported as not having run. */
     @Test
     public void waitEndsWithInProgress() {
         grant(KEY, FIRST, 1);
@@ -93,7 +93,7 @@
         assertEquals(reply.claimant(), Optional.of(FIRST));
     }
 
-    /** Guards against an own write that is taken for another router's after its reply was lost. */
+    /** Guards against treating the router's own write as another router's after the store's response was lost. */
     @Test
     public void ownWriteIsRecognisedByItsWriter() {
         load(Segment.empty(), 0);
@@ -119,9 +119,9 @@
         assertEquals(refused.claimant(), Optional.of(FIRST), "the first write may still take effect");
     }
 
-    /** Guards against two owners that both grant: the loser sees the winner's claim. */
+    /** Guards against two owners that both grant: the one whose compare-and-swap fails must see the other's claim. */
     @Test
-    public void lostSwapIsEvaluatedAgain() {
+    public void claimIsEvaluatedAgainAfterAConflictingWrite() {
         load(Segment.empty(), 0);
         machine.claim(now(), 1, KEY, FIRST, DIGEST);
         machine.commitDue(now());
@@ -131,14 +131,14 @@
         assertEquals(only(Effect.QueryClaimant.class, effects).attempt(), SECOND);
     }
 
-    /** Guards against "not run" for a booking that may have run before the platform went out. */
+    /** Guards against the reply "not run" for a booking that may have run before the platform became unavailable. */
     @Test
-    public void outageAnswersFromMemoryOnly() {
+    public void outageRepliesFromMemoryOnly() {
         List<Effect> effects = machine.claim(now(), 1, KEY, FIRST, DIGEST);
         only(Effect.Load.class, effects);
         assertEquals(reply(machine.loadFailed(now()), 1).verdict(), Verdict.UNKNOWN);
         machine.commitDue(now());
-        Booking done = claimed(OTHER, SECOND).withFinished(Optional.of(answer(10)));
+        Booking done = claimed(OTHER, SECOND).withFinished(Optional.of(response(10)));
         machine.loaded(now(), new LoadedPartition(1, segment(done), Map.of()));
         machine.claim(now(), 2, KEY, FIRST, DIGEST);
         machine.commitDue(now());
@@ -148,19 +148,19 @@
         assertEquals(reply(machine.claim(now(), 4, OTHER, FIRST, DIGEST), 4).verdict(), Verdict.FINISHED);
     }
 
-    /** Guards against a claim that is written over an outcome which arrived while the claim was queued. */
+    /** Guards against a claim that overwrites an outcome received while the claim was queued. */
     @Test
     public void queuedClaimSeesALateOutcome() {
         load(Segment.empty(), 0);
         machine.claim(now(), 1, KEY, SECOND, DIGEST);
-        machine.outcome(now(), 2, KEY, FIRST, Outcome.answered(answer(10)));
+        machine.outcome(now(), 2, KEY, FIRST, Outcome.answered(response(10)));
         List<Effect> effects = machine.commitDue(now());
         assertEquals(reply(effects, 1).verdict(), Verdict.FINISHED);
         Segment written = only(Effect.Swap.class, effects).open();
         assertEquals(written.entries().get(0).state(), BookingState.FINISHED);
     }
 
-    /** Guards against another run after the claimant was lost, and against a status that is not asked. */
+    /** Guards against a second run after the claimant was lost, and against a missing status query to the service. */
     @Test
     public void lostClaimantIsResolvedByTheService() {
         grant(KEY, FIRST, 1);
@@ -175,11 +175,11 @@
         nowMillis += 2_000;
         machine.claim(now(), 6, KEY, SECOND, DIGEST);
         machine.claimantAnswered(now(), KEY, FIRST, ClaimantState.UNREACHABLE, Optional.empty());
-        Effect.Reply ran = reply(machine.statusAnswered(now(), KEY, FIRST, Optional.of(answer(3))), 6);
-        assertEquals(ran.answer(), Optional.of(answer(3)));
+        Effect.Reply ran = reply(machine.statusAnswered(now(), KEY, FIRST, Optional.of(response(3))), 6);
+        assertEquals(ran.answer(), Optional.of(response(3)));
     }
 
-    /** Guards against a segment that grows without bound, and a sealed booking that is forgotten. */
+    /** Guards against a segment that grows without bound, and against losing a sealed booking. */
     @Test
     public void fullSegmentIsSealed() {
         long revision = 0;
@@ -194,7 +194,7 @@
             if (swap.sealed().isPresent()) {
                 break;
             }
-            machine.outcome(now(), 100 + i, key, attempt, Outcome.answered(answer(15_000)));
+            machine.outcome(now(), 100 + i, key, attempt, Outcome.answered(response(15_000)));
             nowMillis += 1_000;
             machine.commitDue(now());
             machine.swapWon(now(), ++revision);
@@ -217,9 +217,9 @@
 
     /** Guards against a second run after the platform was restored to a state before the first one. */
     @Test
-    public void restoredPlatformForgetsNothing() {
+    public void bookingsSurviveARestoreOfThePlatform() {
         grant(KEY, FIRST, 5);
-        machine.outcome(now(), 5, KEY, FIRST, Outcome.answered(answer(10)));
+        machine.outcome(now(), 5, KEY, FIRST, Outcome.answered(response(10)));
         nowMillis += 1_000;
         machine.commitDue(now());
         machine.swapWon(now(), 6);
@@ -229,18 +229,18 @@
         only(Effect.Load.class, machine.ownershipGained(now()));
         List<Effect> effects = machine.loaded(now(), new LoadedPartition(0, Segment.empty(), Map.of()));
         assertEquals(only(Effect.Swap.class, effects).open().entries().size(), 2);
-        assertEquals(reply(machine.claim(now(), 7, KEY, SECOND, DIGEST), 7).answer(), Optional.of(answer(10)));
+        assertEquals(reply(machine.claim(now(), 7, KEY, SECOND, DIGEST), 7).answer(), Optional.of(response(10)));
         assertTrue(none(Effect.Reply.class, machine.claim(now(), 8, OTHER, SECOND, DIGEST)), "it may be running");
     }
 
-    /** Guards against long answers in a segment, and an entry that is recorded before its answer. */
+    /** Guards against long responses in a segment, and against an entry that is recorded before its response. */
     @Test
-    public void longAnswerIsStoredFirst() {
+    public void longResponseIsStoredFirst() {
         grant(KEY, FIRST, 1);
-        List<Effect> effects = machine.outcome(now(), 5, KEY, FIRST, Outcome.answered(answer(20_000)));
+        List<Effect> effects = machine.outcome(now(), 5, KEY, FIRST, Outcome.answered(response(20_000)));
         only(Effect.StoreAnswer.class, effects);
         nowMillis += 1_000;
-        assertTrue(none(Effect.Swap.class, machine.commitDue(now())), "the answer is not stored yet");
+        assertTrue(none(Effect.Swap.class, machine.commitDue(now())), "the response is not stored yet");
         machine.answerStored(now(), KEY, FIRST, true);
         nowMillis += 1_000;
         Effect.Swap swap = only(Effect.Swap.class, machine.commitDue(now()));
@@ -271,7 +271,7 @@
         return new Segment(0, List.of(bookings), List.of(), "another router");
     }
 
-    private static Answer answer(int bytes) {
+    private static Answer response(int bytes) {
         return new Answer(200, "text/plain", new byte[bytes]);
     }
 
