--- a/agatelane-core/src/main/java/io/agatelane/core/config/ConfigState.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/config/ConfigState.java
@@ -13,7 +13,7 @@
 import java.util.stream.IntStream;
 import java.util.stream.Stream;
 
-/** A head with all of its shards. */
+/** Complete configuration at one revision: a head with all shards that it lists. */
 public final class ConfigState {
     private final Head head;
     private final List<Shard> shards;
@@ -38,7 +38,7 @@
         return head.revision();
     }
 
-    /** Shards in index order. */
+    /** Returns the shards in index order. */
     public List<Shard> shards() {
         return shards;
     }
@@ -47,17 +47,17 @@
         return shards.get(index);
     }
 
-    /** Finds an object. */
+    /** Returns the object with the given key, if it exists. */
     public Optional<StoredObject> find(ObjectKey key) {
         return shards.get(ShardLayout.shardOf(key)).find(key);
     }
 
-    /** All objects, in no particular order. */
+    /** Returns all objects, in no particular order. */
     public Stream<StoredObject> objects() {
         return shards.stream().flatMap(shard -> shard.objects().stream());
     }
 
-    /** All objects of a kind in name order. */
+    /** Returns all objects of a kind in name order. */
     public List<StoredObject> objects(ObjectKind kind) {
         return objects()
                 .filter(object -> object.key().kind() == kind)
@@ -65,7 +65,7 @@
                 .toList();
     }
 
-    /** Indices of the shards whose version in the head is not the one held here. */
+    /** Returns the indices of the shards whose version in the given head differs from the one in this state. */
     public List<Integer> missingShards(Head newHead) {
         return IntStream.range(0, ShardLayout.SHARDS)
                 .filter(i -> newHead.shardVersions().get(i) != shards.get(i).version())
@@ -76,7 +76,7 @@
     /**
      * Returns the state at a new head.
      *
-     * @param changed the shards that the head lists and that are not held here
+     * @param changed the shards that the new head lists and that this state does not contain
      * @throws IllegalArgumentException when a shard of the head is missing
      */
     public ConfigState advance(Head newHead, Collection<Shard> changed) {
@@ -98,7 +98,7 @@
         return next;
     }
 
-    /** The view that the router's traffic threads read. */
+    /** Returns the immutable snapshot that the router's traffic threads read. */
     public ConfigSnapshot snapshot() {
         ConfigSnapshot.Builder builder = ConfigSnapshot.builder().revision(head.revision());
         objects().forEach(object -> add(builder, object));
--- a/agatelane-core/src/main/java/io/agatelane/core/config/ConflictException.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/config/ConflictException.java
@@ -3,7 +3,7 @@
 import io.agatelane.core.failure.AgatelaneException;
 import io.agatelane.core.failure.FailureType;
 
-/** A change that expects another version of its object than the current one. */
+/** Thrown when a change expects a version of its object that is not the current one. */
 public final class ConflictException extends AgatelaneException {
     private static final long serialVersionUID = 1L;
 
@@ -24,12 +24,12 @@
         return key;
     }
 
-    /** 0 when the change expects that the object does not exist. */
+    /** Returns the expected version; 0 when the change expects that the object does not exist. */
     public long expectedVersion() {
         return expectedVersion;
     }
 
-    /** 0 when the object does not exist. */
+    /** Returns the current version; 0 when the object does not exist. */
     public long actualVersion() {
         return actualVersion;
     }
--- a/agatelane-core/src/main/java/io/agatelane/core/config/Head.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/config/Head.java
@@ -6,14 +6,15 @@
 import java.util.Optional;
 
 /**
- * The commit point of the configuration.
+ * Root record of the stored configuration. It names the version of each shard at one revision; writing it commits a
+ * change.
  *
  * @param shardVersions version of each shard; 0 for a shard that was never written
  * @param shardChecksums checksum of each shard's bytes; 0 for a shard that was never written
- * @param recentChanges the newest changes first, at most {@link #MAX_RECENT_CHANGES}
+ * @param recentChanges the most recent changes, newest first, at most {@link #MAX_RECENT_CHANGES}
  */
 public record Head(long revision, List<Long> shardVersions, List<Long> shardChecksums, List<Change> recentChanges) {
-    /** Number of changes by which a repeat is recognised. */
+    /** Number of changes that a head lists. A repeated change is recognised only if it is one of them. */
     public static final int MAX_RECENT_CHANGES = 512;
 
     public Head {
@@ -45,8 +46,8 @@
     }
 
     /**
-     * Returns this head with the changes of an older head of the same history after its own. A peer sends only the
-     * changes since the revision that the caller knows.
+     * Returns this head with the changes of an older head of the same history appended. This completes the head that a
+     * peer sends, which lists only the changes since the revision that the caller knows.
      */
     public Head withOlderChanges(Head older) {
         long oldest = recentChanges.isEmpty()
@@ -71,12 +72,12 @@
         return new Head(revision, shardVersions, shardChecksums, changes);
     }
 
-    /** Finds an accepted change by its identity. */
+    /** Returns the accepted change with an identity, if this head lists it. */
     public Optional<Change> change(String id) {
         return recentChanges.stream().filter(change -> change.id().equals(id)).findFirst();
     }
 
-    /** Finds an accepted change by its revision. */
+    /** Returns the accepted change with a revision, if this head lists it. */
     public Optional<Change> changeAt(long changeRevision) {
         return recentChanges.stream()
                 .filter(change -> change.revision() == changeRevision)
--- a/agatelane-core/src/main/java/io/agatelane/core/config/ObjectKey.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/config/ObjectKey.java
@@ -3,7 +3,7 @@
 import java.util.Comparator;
 import java.util.Objects;
 
-/** Identity of a configuration object. */
+/** Identifies a configuration object by its kind and name; ordered by kind, then by name. */
 public record ObjectKey(ObjectKind kind, String name) implements Comparable<ObjectKey> {
     private static final Comparator<ObjectKey> ORDER =
             Comparator.comparing(ObjectKey::kind).thenComparing(ObjectKey::name);
--- a/agatelane-core/src/main/java/io/agatelane/core/config/ObjectKind.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/config/ObjectKind.java
@@ -6,7 +6,7 @@
 import io.agatelane.core.model.Service;
 import io.agatelane.core.model.Upstream;
 
-/** Kinds of configuration objects. */
+/** Kind of a configuration object, which determines the type of its value. */
 public enum ObjectKind {
     CLIENT_ACCOUNT("client_account", ClientAccount.class),
     MODEL("model", Model.class),
@@ -22,12 +22,12 @@
         this.valueType = valueType;
     }
 
-    /** Name of the kind in the operators' schema; first part of the location of a fault. */
+    /** Returns the name of the kind in the operators' schema; also the first part of the location of a field error. */
     public String fieldName() {
         return fieldName;
     }
 
-    /** Type of the values of this kind. */
+    /** Returns the type of the values of this kind. */
     public Class<? extends Record> valueType() {
         return valueType;
     }
--- a/agatelane-core/src/main/java/io/agatelane/core/config/StoredObject.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/config/StoredObject.java
@@ -1,10 +1,10 @@
 package io.agatelane.core.config;
 
 /**
- * A configuration object with its version.
+ * A configuration object with its value and version.
  *
  * @param version the configuration revision that last changed the object
- * @param value a value of the kind's type
+ * @param value an instance of {@link ObjectKind#valueType()}
  */
 public record StoredObject(ObjectKey key, long version, Record value) {
     public StoredObject {
--- a/agatelane-core/src/main/java/io/agatelane/core/config/command/ChangePlan.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/config/command/ChangePlan.java
@@ -6,12 +6,12 @@
 import io.agatelane.core.config.Shard;
 
 /**
- * What must be written for a change: first the shard, then the head.
+ * Writes that make up a change: first the shard, then the head that commits it.
  *
- * @param repeat the change was accepted before and nothing is to be written
+ * @param repeat whether the change was accepted before, so that nothing has to be written
  */
 public record ChangePlan(ConfigState base, Change change, Shard shard, boolean repeat) {
-    /** The head that commits the change, once the shard's bytes are known. */
+    /** Returns the head that commits the change; it contains the checksum of the shard's encoded bytes. */
     public Head head(long shardChecksum) {
         return base.head().withChange(change, shard.index(), shard.version(), shardChecksum);
     }
--- a/agatelane-core/src/main/java/io/agatelane/core/config/command/ChangePlanner.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/config/command/ChangePlanner.java
@@ -11,18 +11,18 @@
 import io.agatelane.core.failure.FailureType;
 import java.util.Optional;
 
-/** Decides what a change writes. */
+/** Validates a change of the configuration and determines what it writes. */
 public final class ChangePlanner {
     private static final int MAX_ID_LENGTH = 128;
 
     private ChangePlanner() {}
 
     /**
-     * Plans a change on top of a state.
+     * Plans a change that is based on a state.
      *
-     * @param salt differs between attempts, see {@link ShardLayout#versionFor}
+     * @param salt differs between attempts to write, see {@link ShardLayout#versionFor}
      * @throws ConflictException when the expected version is not the current one
-     * @throws AgatelaneException with {@code INVALID_OBJECT} when the change cannot be accepted, and with
+     * @throws AgatelaneException with {@code INVALID_OBJECT} when the change or its value is not valid, and with
      *     {@code NOT_FOUND} when the object to delete does not exist
      */
     public static ChangePlan plan(ConfigState state, ChangeRequest request, long salt) {
@@ -45,12 +45,12 @@
             ObjectValidator.validateDeletion(state, request.key());
         }
         long revision = state.revision() + 1;
-        Shard before = state.shard(ShardLayout.shardOf(request.key()));
+        Shard oldShard = state.shard(ShardLayout.shardOf(request.key()));
         long version = ShardLayout.versionFor(revision, salt);
-        Shard after = request.value()
-                .map(value -> before.with(new StoredObject(request.key(), revision, value), version))
-                .orElseGet(() -> before.without(request.key(), version));
-        return new ChangePlan(state, new Change(request.id(), revision, request.key()), after, false);
+        Shard newShard = request.value()
+                .map(value -> oldShard.with(new StoredObject(request.key(), revision, value), version))
+                .orElseGet(() -> oldShard.without(request.key(), version));
+        return new ChangePlan(state, new Change(request.id(), revision, request.key()), newShard, false);
     }
 
     private static void checkId(String id) {
@@ -65,7 +65,8 @@
         if (!earlier.key().equals(request.key())) {
             throw new AgatelaneException(
                             FailureType.INVALID_OBJECT,
-                            "the change identity was used for " + earlier.key() + " at revision " + earlier.revision())
+                            "the change identity was already used for " + earlier.key() + " at revision "
+                                    + earlier.revision())
                     .withLocation("/change_id");
         }
         Shard shard = state.shard(ShardLayout.shardOf(request.key()));
--- a/agatelane-core/src/main/java/io/agatelane/core/config/command/ForwardReader.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/config/command/ForwardReader.java
@@ -5,7 +5,10 @@
 import io.agatelane.core.config.Head;
 import java.util.Optional;
 
-/** Holds the newest state and only moves forward. Not safe for use by several threads. */
+/**
+ * Holds the newest configuration state that a router has received. It moves only to newer states of the same history,
+ * also when the platform was restored to an older one. Not thread-safe.
+ */
 public final class ForwardReader {
     private ConfigState state = ConfigState.empty();
 
@@ -13,22 +16,22 @@
         return state;
     }
 
-    /** Compares a head with the state that is held. */
+    /** Compares a head with the head of the current state. */
     public HeadVerdict assess(Head head) {
-        Head held = state.head();
-        if (head.revision() < held.revision()) {
-            return continues(held, head) ? HeadVerdict.REGRESSED : HeadVerdict.DIVERGED;
+        Head current = state.head();
+        if (head.revision() < current.revision()) {
+            return continues(current, head) ? HeadVerdict.REGRESSED : HeadVerdict.DIVERGED;
         }
-        if (head.revision() == held.revision()) {
-            boolean same = head.shardVersions().equals(held.shardVersions())
-                    && head.shardChecksums().equals(held.shardChecksums())
-                    && head.changeAt(head.revision()).equals(held.changeAt(held.revision()));
+        if (head.revision() == current.revision()) {
+            boolean same = head.shardVersions().equals(current.shardVersions())
+                    && head.shardChecksums().equals(current.shardChecksums())
+                    && head.changeAt(head.revision()).equals(current.changeAt(current.revision()));
             return same ? HeadVerdict.CURRENT : HeadVerdict.DIVERGED;
         }
-        return continues(head, held) ? HeadVerdict.NEWER : HeadVerdict.DIVERGED;
+        return continues(head, current) ? HeadVerdict.NEWER : HeadVerdict.DIVERGED;
     }
 
-    /** Moves to a newer state. Returns false and changes nothing when it does not continue the one held. */
+    /** Moves to a newer state. Returns false and changes nothing when it does not continue the current state. */
     public boolean advance(ConfigState newState) {
         if (assess(newState.head()) != HeadVerdict.NEWER) {
             return false;
@@ -37,8 +40,8 @@
         return true;
     }
 
-    // Each head lists the newest changes, so the newest change of an older head must be among them unless it is too
-    // old.
+    // Each head lists its most recent changes, so the newest change of an older head of the same history is among them
+    // unless too many changes followed.
     private static boolean continues(Head newer, Head older) {
         Optional<Change> newestOfOlder = older.recentChanges().stream().findFirst();
         if (newestOfOlder.isEmpty() || newer.revision() - older.revision() >= Head.MAX_RECENT_CHANGES) {
--- a/agatelane-core/src/main/java/io/agatelane/core/config/command/HeadVerdict.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/config/command/HeadVerdict.java
@@ -1,13 +1,13 @@
 package io.agatelane.core.config.command;
 
-/** How a head relates to the state that a reader holds. */
+/** Relation of a head that was read to the configuration state that the reader already has. */
 public enum HeadVerdict {
-    /** The reader already holds it. */
+    /** The head is that of the reader's state. */
     CURRENT,
-    /** It continues the reader's state. */
+    /** The head continues the history of the reader's state. */
     NEWER,
-    /** It is an earlier state of the same history; the platform was restored to it. */
+    /** The head is an earlier one of the same history, to which the platform was restored. */
     REGRESSED,
-    /** It does not contain a change that the reader holds: another history was continued after a restore. */
+    /** The head lacks a change that the reader has: after a restore, other changes were made to the older state. */
     DIVERGED
 }
--- a/agatelane-core/src/main/java/io/agatelane/core/config/command/Rollout.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/config/command/Rollout.java
@@ -10,25 +10,26 @@
 import java.util.TreeSet;
 
 /**
- * Waits of operator calls until all live routers have a revision in force. Not safe for use by several threads.
+ * Tracks operator calls that wait until a revision is in force on all live routers. Not thread-safe.
  *
- * @param <T> what identifies a wait to its owner
+ * @param <T> type of the value that identifies a wait to the caller
  */
 public final class Rollout<T> {
-    private final long askAfterMillis;
+    private final long queryAfterMillis;
     private final List<Wait<T>> waits = new ArrayList<>();
     private final Map<String, Long> confirmed = new HashMap<>();
 
     /**
-     * Creates a rollout without waits.
+     * Creates a tracker without waits.
      *
-     * @param askAfterMillis time after which routers that gossip has not confirmed are asked directly
+     * @param queryAfterMillis duration of a wait after which routers whose gossip has not confirmed the revision are
+     *     queried directly
      */
-    public Rollout(long askAfterMillis) {
-        this.askAfterMillis = askAfterMillis;
+    public Rollout(long queryAfterMillis) {
+        this.queryAfterMillis = queryAfterMillis;
     }
 
-    /** Adds a wait. */
+    /** Adds a wait for a revision that ends after {@code waitMillis} at the latest. */
     public void add(T owner, long revision, long nowMillis, long waitMillis) {
         waits.add(new Wait<>(owner, revision, nowMillis, waitMillis));
     }
@@ -37,33 +38,33 @@
         return waits.isEmpty();
     }
 
-    /** Records the answer of a router that was asked. It counts only for this start of its process. */
+    /** Records the revision that a queried router reported. It is valid only for this start of the router's process. */
     public void confirm(String name, long incarnation, long revision) {
         confirmed.merge(identity(name, incarnation), revision, Math::max);
     }
 
-    /** Ends the waits that are over and names the routers to ask. */
+    /** Removes the waits that are complete or have timed out, and determines which routers to query. */
     public Step<T> evaluate(long nowMillis, Collection<RouterRevision> liveRouters) {
         List<Ended<T>> ended = new ArrayList<>();
-        TreeSet<String> toAsk = new TreeSet<>();
+        TreeSet<String> toQuery = new TreeSet<>();
         for (Iterator<Wait<T>> iterator = waits.iterator(); iterator.hasNext(); ) {
             Wait<T> wait = iterator.next();
-            List<String> behind = behind(wait.revision, liveRouters);
+            List<String> routersBehind = routersBehind(wait.revision, liveRouters);
             long waitedMillis = nowMillis - wait.startMillis;
-            if (behind.isEmpty() || waitedMillis >= wait.waitMillis) {
+            if (routersBehind.isEmpty() || waitedMillis >= wait.waitMillis) {
                 iterator.remove();
-                ended.add(new Ended<>(wait.owner, behind.isEmpty()));
-            } else if (waitedMillis >= askAfterMillis) {
-                toAsk.addAll(behind);
+                ended.add(new Ended<>(wait.owner, routersBehind.isEmpty()));
+            } else if (waitedMillis >= queryAfterMillis) {
+                toQuery.addAll(routersBehind);
             }
         }
         if (waits.isEmpty()) {
             confirmed.clear();
         }
-        return new Step<>(ended, List.copyOf(toAsk));
+        return new Step<>(ended, List.copyOf(toQuery));
     }
 
-    private List<String> behind(long revision, Collection<RouterRevision> liveRouters) {
+    private List<String> routersBehind(long revision, Collection<RouterRevision> liveRouters) {
         return liveRouters.stream()
                 .filter(router -> router.revision() < revision)
                 .filter(router -> confirmed.getOrDefault(identity(router.name(), router.incarnation()), 0L) < revision)
@@ -75,13 +76,13 @@
         return name + "#" + incarnation;
     }
 
-    /** What follows from an evaluation. */
+    /** Result of an evaluation: the waits that ended, and the names of the routers to query for their revision. */
     public record Step<T>(List<Ended<T>> ended, List<String> routersToAsk) {}
 
     /**
-     * A wait that is over.
+     * A wait that has ended.
      *
-     * @param everywhere whether all live routers had the revision
+     * @param everywhere true when the revision is in force on all live routers, false when the wait timed out
      */
     public record Ended<T>(T owner, boolean everywhere) {}
 
--- a/agatelane-core/src/main/java/io/agatelane/core/config/command/ShardAssembly.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/config/command/ShardAssembly.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Collects the shards that lead from a state to a newer head. Not safe for use by several threads. */
+/** Collects the shards that are needed to move from a state to a newer head. Not thread-safe. */
 public final class ShardAssembly {
     private final ConfigState base;
     private final Head head;
@@ -22,7 +22,7 @@
         return head;
     }
 
-    /** Indices of the shards that are still needed. */
+    /** Returns the indices of the shards that are still needed. */
     public List<Integer> missing() {
         return base.missingShards(head).stream()
                 .filter(index -> head.shardVersions().get(index) != 0)
@@ -31,7 +31,7 @@
     }
 
     /**
-     * Offers a shard.
+     * Adds a shard if the head lists it.
      *
      * @param checksum checksum of the bytes from which the shard was decoded
      * @return false when the head does not list this version with this checksum
@@ -49,13 +49,13 @@
         return listed;
     }
 
-    /** The shards accepted so far. */
+    /** Returns the shards added so far. */
     public List<Shard> collected() {
         return List.copyOf(collected.values());
     }
 
     /**
-     * The state at the head.
+     * Returns the state at the head.
      *
      * @throws IllegalArgumentException when shards are missing
      */
--- a/agatelane-core/src/main/java/io/agatelane/core/config/command/ShardRetention.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/config/command/ShardRetention.java
@@ -11,17 +11,17 @@
 import java.util.Set;
 
 /**
- * Decides which shard versions are deleted. Versions are kept for 10 minutes after they were replaced, because a reader
- * may still hold the head that lists them. Not safe for use by several threads.
+ * Decides which stored shard versions to delete. A replaced version is retained for 10 minutes, because a reader may
+ * still use the head that lists it. Not thread-safe.
  */
 public final class ShardRetention {
-    /** Time from the replacement of a version to its deletion. */
-    public static final long KEEP_MILLIS = 600_000;
+    /** Time from the replacement of a version to its deletion, and the shortest time between two sweeps. */
+    public static final long RETENTION_MILLIS = 600_000;
 
     private final ArrayDeque<Replaced> replaced = new ArrayDeque<>();
-    private Set<String> unusedAtLastSweep = new HashSet<>();
+    private Set<String> unusedAtPreviousSweep = new HashSet<>();
 
-    /** Remembers the versions that a new state no longer uses. */
+    /** Records the versions that a new state no longer uses. */
     public void replaced(ConfigState before, ConfigState after, long nowMillis) {
         for (int i = 0; i < ShardLayout.SHARDS; i++) {
             long version = before.shard(i).version();
@@ -31,32 +31,32 @@
         }
     }
 
-    /** Removes and returns the keys that were replaced long enough ago. */
+    /** Removes and returns the store keys of versions whose retention time has ended. */
     public List<String> takeDue(long nowMillis) {
-        List<String> due = new ArrayList<>();
-        while (!replaced.isEmpty() && nowMillis - replaced.peek().millis >= KEEP_MILLIS) {
-            due.add(replaced.poll().key);
+        List<String> deletable = new ArrayList<>();
+        while (!replaced.isEmpty() && nowMillis - replaced.peek().replacedMillis >= RETENTION_MILLIS) {
+            deletable.add(replaced.poll().key);
         }
-        return due;
+        return deletable;
     }
 
     /**
-     * Returns the keys of a listing that neither this sweep nor the previous one found in use. The time between two
-     * sweeps must be at least {@link #KEEP_MILLIS}.
+     * Returns the listed keys that were unused both in this sweep and in the previous one. The time between two sweeps
+     * must be at least {@link #RETENTION_MILLIS}.
      */
     public List<String> sweep(ConfigState state, Collection<String> listedKeys) {
         Set<String> unused = new HashSet<>();
         listedKeys.stream().filter(key -> ShardUse.isUnused(state, key)).forEach(unused::add);
-        List<String> due =
-                unused.stream().filter(unusedAtLastSweep::contains).sorted().toList();
-        unusedAtLastSweep = unused;
-        return due;
+        List<String> deletable =
+                unused.stream().filter(unusedAtPreviousSweep::contains).sorted().toList();
+        unusedAtPreviousSweep = unused;
+        return deletable;
     }
 
-    /** Forgets the previous sweep, because another router sweeps now. */
+    /** Discards the result of the previous sweep. Called when another router performs the sweeps. */
     public void skipSweep() {
-        unusedAtLastSweep = new HashSet<>();
+        unusedAtPreviousSweep = new HashSet<>();
     }
 
-    private record Replaced(String key, long millis) {}
+    private record Replaced(String key, long replacedMillis) {}
 }
--- a/agatelane-core/src/main/java/io/agatelane/core/config/query/FieldChecks.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/config/query/FieldChecks.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.regex.Pattern;
 
-/** Collects the faults of the fields of one object. */
+/** Checks the fields of one object and collects the errors found. */
 final class FieldChecks {
     private static final Pattern NAME = Pattern.compile("[A-Za-z0-9][A-Za-z0-9._-]{0,62}");
     private static final Pattern MODEL_NAME = Pattern.compile("[A-Za-z0-9][A-Za-z0-9._:/-]{0,126}");
@@ -16,57 +16,58 @@
     private static final int MAX_OCTET = 255;
 
     private final String prefix;
-    private final List<Fault> faults = new ArrayList<>();
+    private final List<FieldError> errors = new ArrayList<>();
 
     FieldChecks(String prefix) {
         this.prefix = prefix;
     }
 
-    List<Fault> faults() {
-        return faults;
+    List<FieldError> errors() {
+        return errors;
     }
 
-    void fault(String field, String expected) {
-        faults.add(new Fault(prefix + "/" + field, expected));
+    void addError(String field, String expected) {
+        errors.add(new FieldError(prefix + "/" + field, expected));
     }
 
-    void objectName(String name, boolean model) {
+    void checkObjectName(String name, boolean model) {
         if (model && !MODEL_NAME.matcher(name).matches()) {
-            faults.add(
-                    new Fault("/name", "expected 1 to 127 of A-Z a-z 0-9 . _ - : / that start with a letter or digit"));
+            errors.add(new FieldError(
+                    "/name", "expected 1 to 127 of A-Z a-z 0-9 . _ - : / that start with a letter or digit"));
         } else if (!model && !NAME.matcher(name).matches()) {
-            faults.add(new Fault("/name", "expected 1 to 63 of A-Z a-z 0-9 . _ - that start with a letter or digit"));
+            errors.add(
+                    new FieldError("/name", "expected 1 to 63 of A-Z a-z 0-9 . _ - that start with a letter or digit"));
         }
     }
 
-    void name(String field, String value) {
+    void checkName(String field, String value) {
         if (!NAME.matcher(value).matches()) {
-            fault(field, "expected 1 to 63 of A-Z a-z 0-9 . _ - that start with a letter or digit");
+            addError(field, "expected 1 to 63 of A-Z a-z 0-9 . _ - that start with a letter or digit");
         }
     }
 
-    void printable(String field, String value) {
+    void checkPrintable(String field, String value) {
         if (!PRINTABLE.matcher(value).matches()) {
-            fault(field, "expected 1 to 256 printable ASCII characters without spaces");
+            addError(field, "expected 1 to 256 printable ASCII characters without spaces");
         }
     }
 
-    void keyDigest(String field, String value) {
+    void checkKeyDigest(String field, String value) {
         if (!KEY_DIGEST.matcher(value).matches()) {
-            fault(field, "expected a SHA-256 digest as 64 lower-case hexadecimal digits");
+            addError(field, "expected a SHA-256 digest as 64 lower-case hexadecimal digits");
         }
     }
 
-    void range(String field, long value, long min, long max) {
+    void checkRange(String field, long value, long min, long max) {
         if (value < min || value > max) {
-            fault(field, "expected " + min + " to " + max + ", found " + value);
+            addError(field, "expected " + min + " to " + max + ", found " + value);
         }
     }
 
-    void baseUrl(String field, String value) {
+    void checkBaseUrl(String field, String value) {
         var matcher = BASE_URL.matcher(value);
         if (!matcher.matches() || !isAddress(matcher.group(1)) || !isPort(matcher.group(2))) {
-            fault(field, "expected http://IP:PORT, found \"" + value + "\"");
+            addError(field, "expected http://IP:PORT, found \"" + value + "\"");
         }
     }
 
--- a/agatelane-core/src/main/java/io/agatelane/core/config/query/ObjectValidator.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/config/query/ObjectValidator.java
@@ -17,7 +17,7 @@
 import java.util.Set;
 import java.util.stream.Collectors;
 
-/** Checks an object by itself and against the other objects of a state. */
+/** Validates a configuration object by itself and against the other objects of a state. */
 public final class ObjectValidator {
     private static final long MAX_TOKENS = 1_000_000_000_000L;
     private static final int MAX_CONTEXT_TOKENS = 100_000_000;
@@ -31,23 +31,24 @@
     private ObjectValidator() {}
 
     /**
-     * Checks a value that is to be stored.
+     * Validates a value before it is stored.
      *
-     * @throws AgatelaneException with {@code INVALID_OBJECT} that lists all faults and has the location of the first
+     * @throws AgatelaneException with {@code INVALID_OBJECT}, all errors in the message and the location of the first
+     *     one
      */
     public static void validate(ConfigState state, ObjectKey key, Record value) {
-        List<Fault> faults = faults(state, key, value);
-        if (!faults.isEmpty()) {
-            String detail = faults.stream().map(Fault::toString).collect(Collectors.joining("; "));
+        List<FieldError> errors = findErrors(state, key, value);
+        if (!errors.isEmpty()) {
+            String detail = errors.stream().map(FieldError::toString).collect(Collectors.joining("; "));
             throw new AgatelaneException(FailureType.INVALID_OBJECT, key + " is not valid: " + detail)
-                    .withLocation(faults.get(0).location());
+                    .withLocation(errors.get(0).location());
         }
     }
 
     /**
-     * Checks that no other object refers to one that is to be deleted.
+     * Checks that no other object refers to the one to be deleted.
      *
-     * @throws AgatelaneException with {@code INVALID_OBJECT} and the location of a reference
+     * @throws AgatelaneException with {@code INVALID_OBJECT} and the location of an object that refers to it
      */
     public static void validateDeletion(ConfigState state, ObjectKey key) {
         state.objects()
@@ -63,120 +64,121 @@
                 });
     }
 
-    /** Returns all faults of a value. */
-    public static List<Fault> faults(ConfigState state, ObjectKey key, Record value) {
+    /** Returns all errors in a value. */
+    public static List<FieldError> findErrors(ConfigState state, ObjectKey key, Record value) {
         FieldChecks checks = new FieldChecks("/" + key.kind().fieldName());
-        checks.objectName(key.name(), key.kind() == ObjectKind.MODEL);
+        checks.checkObjectName(key.name(), key.kind() == ObjectKind.MODEL);
         switch (key.kind()) {
-            case CLIENT_ACCOUNT -> account(checks, state, (ClientAccount) value);
-            case MODEL -> model(checks, state, (Model) value);
-            case ROUTING_POLICY -> policy(checks, (RoutingPolicy) value);
-            case SERVICE -> service(checks, state, (Service) value);
-            case UPSTREAM -> upstream(checks, state, (Upstream) value);
+            case CLIENT_ACCOUNT -> checkAccount(checks, state, (ClientAccount) value);
+            case MODEL -> checkModel(checks, state, (Model) value);
+            case ROUTING_POLICY -> checkPolicy(checks, (RoutingPolicy) value);
+            case SERVICE -> checkService(checks, state, (Service) value);
+            case UPSTREAM -> checkUpstream(checks, state, (Upstream) value);
             default -> throw new IllegalArgumentException("unknown kind " + key);
         }
-        return List.copyOf(checks.faults());
+        return List.copyOf(checks.errors());
     }
 
-    private static void account(FieldChecks checks, ConfigState state, ClientAccount account) {
-        checks.range("tokens_per_second", account.tokensPerSecond(), 0, MAX_TOKENS);
-        // A limited account without a burst could never send a request.
-        checks.range("burst_tokens", account.burstTokens(), account.tokensPerSecond() > 0 ? 1 : 0, MAX_TOKENS);
-        checks.range("weight", account.weight(), 1, MAX_WEIGHT);
-        reference(checks, state, "routing_policy", ObjectKind.ROUTING_POLICY, account.routingPolicy());
-        Set<String> taken = new HashSet<>();
+    private static void checkAccount(FieldChecks checks, ConfigState state, ClientAccount account) {
+        checks.checkRange("tokens_per_second", account.tokensPerSecond(), 0, MAX_TOKENS);
+        // An account with a token limit and a burst of 0 could never send a request.
+        checks.checkRange("burst_tokens", account.burstTokens(), account.tokensPerSecond() > 0 ? 1 : 0, MAX_TOKENS);
+        checks.checkRange("weight", account.weight(), 1, MAX_WEIGHT);
+        checkReference(checks, state, "routing_policy", ObjectKind.ROUTING_POLICY, account.routingPolicy());
+        Set<String> usedDigests = new HashSet<>();
         for (StoredObject other : state.objects(ObjectKind.CLIENT_ACCOUNT)) {
             if (!other.key().name().equals(account.name())) {
-                taken.addAll(((ClientAccount) other.value()).apiKeySha256());
+                usedDigests.addAll(((ClientAccount) other.value()).apiKeySha256());
             }
         }
         for (int i = 0; i < account.apiKeySha256().size(); i++) {
             String field = "api_key_sha256/" + i;
             String digest = account.apiKeySha256().get(i);
-            checks.keyDigest(field, digest);
-            if (!taken.add(digest)) {
-                checks.fault(field, "expected an API key that is used only once");
+            checks.checkKeyDigest(field, digest);
+            if (!usedDigests.add(digest)) {
+                checks.addError(field, "expected an API key that is used only once");
             }
         }
     }
 
-    private static void model(FieldChecks checks, ConfigState state, Model model) {
-        checks.printable("weights_version", model.weightsVersion());
-        checks.range("max_context_tokens", model.maxContextTokens(), 1, MAX_CONTEXT_TOKENS);
-        checks.range("default_max_tokens", model.defaultMaxTokens(), 1, Math.max(1, model.maxContextTokens()));
-        reference(checks, state, "routing_policy", ObjectKind.ROUTING_POLICY, model.routingPolicy());
+    private static void checkModel(FieldChecks checks, ConfigState state, Model model) {
+        checks.checkPrintable("weights_version", model.weightsVersion());
+        checks.checkRange("max_context_tokens", model.maxContextTokens(), 1, MAX_CONTEXT_TOKENS);
+        checks.checkRange("default_max_tokens", model.defaultMaxTokens(), 1, Math.max(1, model.maxContextTokens()));
+        checkReference(checks, state, "routing_policy", ObjectKind.ROUTING_POLICY, model.routingPolicy());
     }
 
-    private static void policy(FieldChecks checks, RoutingPolicy policy) {
-        checks.range("first_token_deadline_millis", policy.firstTokenDeadlineMillis(), 1, MAX_MILLIS);
-        checks.range("long_request_millis", policy.longRequestMillis(), 1, MAX_MILLIS);
-        checks.range("long_share_percent", policy.longSharePercent(), 1, 100);
-        checks.range("hedge_percent", policy.hedgePercent(), 0, MAX_HEDGE_PERCENT);
-        checks.range("retry_percent", policy.retryPercent(), 0, MAX_RETRY_PERCENT);
+    private static void checkPolicy(FieldChecks checks, RoutingPolicy policy) {
+        checks.checkRange("first_token_deadline_millis", policy.firstTokenDeadlineMillis(), 1, MAX_MILLIS);
+        checks.checkRange("long_request_millis", policy.longRequestMillis(), 1, MAX_MILLIS);
+        checks.checkRange("long_share_percent", policy.longSharePercent(), 1, 100);
+        checks.checkRange("hedge_percent", policy.hedgePercent(), 0, MAX_HEDGE_PERCENT);
+        checks.checkRange("retry_percent", policy.retryPercent(), 0, MAX_RETRY_PERCENT);
     }
 
-    private static void service(FieldChecks checks, ConfigState state, Service service) {
-        checks.name("path_prefix", service.pathPrefix());
+    private static void checkService(FieldChecks checks, ConfigState state, Service service) {
+        checks.checkName("path_prefix", service.pathPrefix());
         for (StoredObject other : state.objects(ObjectKind.SERVICE)) {
             if (!other.key().name().equals(service.name())
                     && ((Service) other.value()).pathPrefix().equals(service.pathPrefix())) {
-                checks.fault("path_prefix", "expected a prefix that " + other.key() + " does not use");
+                checks.addError("path_prefix", "expected a prefix that " + other.key() + " does not use");
             }
         }
         if (service.operations().isEmpty()) {
-            checks.fault("operations", "expected at least one operation");
+            checks.addError("operations", "expected at least one operation");
         }
         Set<String> seen = new HashSet<>();
         for (int i = 0; i < service.operations().size(); i++) {
-            operation(checks, "operations/" + i, service.operations().get(i), seen);
+            checkOperation(checks, "operations/" + i, service.operations().get(i), seen);
         }
         if (!service.statusPath().isEmpty()) {
-            checks.printable("status_path", service.statusPath());
+            checks.checkPrintable("status_path", service.statusPath());
             if (!service.statusPath().contains("{key}")) {
-                checks.fault("status_path", "expected a path with {key}, or none");
+                checks.addError("status_path", "expected a path with {key}, or none");
             }
         }
-        checks.range("timeout_millis", service.timeoutMillis(), 1, MAX_MILLIS);
+        checks.checkRange("timeout_millis", service.timeoutMillis(), 1, MAX_MILLIS);
     }
 
-    private static void operation(FieldChecks checks, String field, Operation operation, Set<String> seen) {
+    private static void checkOperation(FieldChecks checks, String field, Operation operation, Set<String> seen) {
         if (!METHODS.contains(operation.method())) {
-            checks.fault(field + "/method", "expected one of GET, HEAD, POST, PUT, PATCH, DELETE");
+            checks.addError(field + "/method", "expected one of GET, HEAD, POST, PUT, PATCH, DELETE");
         }
-        checks.printable(field + "/path", operation.path());
+        checks.checkPrintable(field + "/path", operation.path());
         int star = operation.path().indexOf('*');
         if (star >= 0 && star < operation.path().length() - 1) {
-            checks.fault(field + "/path", "expected * only at the end");
+            checks.addError(field + "/path", "expected * only at the end");
         }
         if (!seen.add(operation.method() + " " + operation.path())) {
-            checks.fault(field, "expected each method and path only once");
+            checks.addError(field, "expected each method and path only once");
         }
     }
 
-    private static void upstream(FieldChecks checks, ConfigState state, Upstream upstream) {
-        checks.baseUrl("base_url", upstream.baseUrl());
-        checks.name("availability_zone", upstream.availabilityZone());
-        checks.range("slots", upstream.slots(), 1, MAX_SLOTS);
+    private static void checkUpstream(FieldChecks checks, ConfigState state, Upstream upstream) {
+        checks.checkBaseUrl("base_url", upstream.baseUrl());
+        checks.checkName("availability_zone", upstream.availabilityZone());
+        checks.checkRange("slots", upstream.slots(), 1, MAX_SLOTS);
         if (upstream.models().isEmpty() == upstream.service().isEmpty()) {
-            checks.fault("models", "expected either models or a service, not both");
+            checks.addError("models", "expected either models or a service, not both");
         }
         Set<String> seen = new HashSet<>();
         for (int i = 0; i < upstream.models().size(); i++) {
             String model = upstream.models().get(i);
             if (!seen.add(model)) {
-                checks.fault("models/" + i, "expected each model only once");
+                checks.addError("models/" + i, "expected each model only once");
             }
             if (model.isEmpty()) {
-                checks.fault("models/" + i, "expected the name of a model");
+                checks.addError("models/" + i, "expected the name of a model");
             }
-            reference(checks, state, "models/" + i, ObjectKind.MODEL, model);
+            checkReference(checks, state, "models/" + i, ObjectKind.MODEL, model);
         }
-        reference(checks, state, "service", ObjectKind.SERVICE, upstream.service());
+        checkReference(checks, state, "service", ObjectKind.SERVICE, upstream.service());
     }
 
-    private static void reference(FieldChecks checks, ConfigState state, String field, ObjectKind kind, String name) {
+    private static void checkReference(
+            FieldChecks checks, ConfigState state, String field, ObjectKind kind, String name) {
         if (!name.isEmpty() && state.find(new ObjectKey(kind, name)).isEmpty()) {
-            checks.fault(field, "expected an existing " + kind.fieldName() + ", found \"" + name + "\"");
+            checks.addError(field, "expected an existing " + kind.fieldName() + ", found \"" + name + "\"");
         }
     }
 
--- a/agatelane-core/src/main/java/io/agatelane/core/config/query/ShardUse.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/config/query/ShardUse.java
@@ -5,7 +5,7 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** Tells which stored shard versions can still matter. */
+/** Detects stored shard versions that no head can refer to any more. */
 public final class ShardUse {
     private static final Pattern KEY =
             Pattern.compile(Pattern.quote(ShardLayout.SHARD_PREFIX) + "(\\d{1,4})/(\\d{1,18})");
@@ -13,8 +13,8 @@
     private ShardUse() {}
 
     /**
-     * Whether a key holds a shard version that no head lists now or later. A version that was written for a revision up
-     * to the current one and is not listed can never be committed any more.
+     * Returns whether a key holds a shard version that the current head does not list and that no later head can list.
+     * A version that was written for a revision up to the current one and is not listed can no longer be committed.
      */
     public static boolean isUnused(ConfigState state, String key) {
         Matcher matcher = KEY.matcher(key);
--- a/agatelane-core/src/test/java/io/agatelane/core/config/ForwardReaderTest.java
+++ b/agatelane-core/src/test/java/io/agatelane/core/config/MonotonicConfigTest.java
@@ -18,10 +18,10 @@
 import java.util.stream.IntStream;
 import org.testng.annotations.Test;
 
-public class ForwardReaderTest {
-    /** Guards against a reader that goes back after the platform was restored (I9). */
+public class MonotonicConfigTest {
+    /** Guards against a router that returns to an older configuration after the platform was restored. */
     @Test
-    public void refusesOlderStates() {
+    public void rejectsOlderStates() {
         ConfigState old = states(3);
         ConfigState current = states(5);
         ForwardReader reader = new ForwardReader();
@@ -34,9 +34,9 @@
         assertEquals(reader.state().revision(), 5);
     }
 
-    /** Guards against a higher revision that lacks changes held here, after a restored state was continued (I9). */
+    /** Guards against adopting a higher revision that lacks changes the router has, made after a platform restore. */
     @Test
-    public void refusesAnotherHistory() {
+    public void rejectsADivergedHistory() {
         ForwardReader reader = new ForwardReader();
         reader.advance(states(5));
         ConfigState other = states(3);
@@ -46,9 +46,9 @@
         }
     }
 
-    /** Guards against a list of changes that differs when a peer sent only its newest part. */
+    /** Guards against an incomplete list of changes when a peer sent only the changes since a revision. */
     @Test
-    public void partOfTheChangesIsCompletedFromTheOlderHead() {
+    public void missingChangesAreAddedFromTheOlderHead() {
         Head whole = states(700).head();
         Head older = states(650).head();
         assertEquals(whole.recentChanges().size(), Head.MAX_RECENT_CHANGES);
@@ -56,7 +56,7 @@
         assertEquals(whole.withChangesSince(650).withOlderChanges(older), whole);
     }
 
-    /** Guards against shards that the head does not list, and against a state with a missing shard. */
+    /** Guards against adding shards that the head does not list, and against a state with a missing shard. */
     @Test
     public void assemblyTakesOnlyListedShards() {
         ConfigState base = states(1);
@@ -71,14 +71,14 @@
         assertEquals(assembly.result().head(), next.head());
     }
 
-    /** Guards against two writers of one revision that use the same key. */
+    /** Guards against two writers of the same revision that overwrite each other's shard under one key. */
     @Test
     public void shardVersionsDifferBetweenAttemptsAndKeepTheRevision() {
         assertNotEquals(ShardLayout.versionFor(9, 1), ShardLayout.versionFor(9, 2));
         assertEquals(ShardLayout.revisionOf(ShardLayout.versionFor(9, -1)), 9);
     }
 
-    /** Guards against shards of very different sizes: at 13,000 names the largest must stay below 1 MB. */
+    /** Guards against shards of very different sizes: with 13,000 names the largest must stay below 1 MB. */
     @Test
     public void namesSpreadOverTheShards() {
         Map<Integer, Integer> counts = new HashMap<>();
@@ -91,7 +91,7 @@
         assertTrue(counts.values().stream().allMatch(count -> count < 2 * 13_000 / ShardLayout.SHARDS));
     }
 
-    /** Guards against watchers that all change when one router leaves, and against a region without one. */
+    /** Guards against replacing all watchers when one router leaves, and against a region without a watcher. */
     @Test
     public void watchersAreStableWhenOthersLeave() {
         Set<String> names = new HashSet<>();
@@ -102,8 +102,8 @@
             Set<String> rest = new HashSet<>(names);
             rest.remove(name);
             List<String> after = WatcherChoice.watchers("ch-nord", rest);
-            long kept = before.stream().filter(after::contains).count();
-            assertEquals(kept, before.contains(name) ? 1 : 2, name);
+            long unchanged = before.stream().filter(after::contains).count();
+            assertEquals(unchanged, before.contains(name) ? 1 : 2, name);
         }
         assertEquals(WatcherChoice.watchers("ch-nord", List.of("only")), List.of("only"));
     }
--- a/agatelane-core/src/test/java/io/agatelane/core/config/ObjectValidatorTest.java
+++ b/agatelane-core/src/test/java/io/agatelane/core/config/ObjectValidatorTest.java
@@ -3,7 +3,7 @@
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.expectThrows;
 
-import io.agatelane.core.config.query.Fault;
+import io.agatelane.core.config.query.FieldError;
 import io.agatelane.core.config.query.ObjectValidator;
 import io.agatelane.core.failure.AgatelaneException;
 import io.agatelane.core.failure.FailureType;
@@ -83,19 +83,19 @@
         };
     }
 
-    /** Guards against objects that routers could not use, and against faults that are not all reported at once. */
+    /** Guards against accepting objects that routers cannot use, and against reporting only some of the errors. */
     @Test(dataProvider = "objects")
-    public void findsEachFaultWithItsLocation(Record value, List<String> locations) {
+    public void findsEachErrorWithItsLocation(Record value, List<String> locations) {
         assertEquals(
-                ObjectValidator.faults(STATE, key(value), value).stream()
-                        .map(Fault::location)
+                ObjectValidator.findErrors(STATE, key(value), value).stream()
+                        .map(FieldError::location)
                         .toList(),
                 locations);
     }
 
-    /** Guards against failures without a type or a location. */
+    /** Guards against a validation failure without a type or a location. */
     @Test
-    public void faultsBecomeOneTypedFailure() {
+    public void errorsBecomeOneTypedFailure() {
         Upstream upstream = engine("nowhere", List.of(), "");
         AgatelaneException failure =
                 expectThrows(AgatelaneException.class, () -> ObjectValidator.validate(STATE, key(upstream), upstream));
