--- a/agatelane-core/src/main/java/io/agatelane/core/orders/DesiredState.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/orders/DesiredState.java
@@ -1,20 +1,20 @@
 package io.agatelane.core.orders;
 
 /**
- * The state that an engine is to reach.
+ * State into which orders bring an engine.
  *
- * @param adapter empty leaves the adapter as it is
- * @param role empty leaves the role as it is
+ * @param adapter adapter to load; empty leaves the current adapter unchanged
+ * @param role role to take; empty leaves the current role unchanged
  */
 public record DesiredState(String model, String weightsVersion, String adapter, String role) {
-    /** Whether an engine is in this state. */
+    /** Returns whether an engine with the given state is in this desired state. */
     public boolean isMetBy(EngineState state) {
         return !needsWeightLoad(state)
                 && (adapter.isEmpty() || adapter.equals(state.adapter()))
                 && (role.isEmpty() || role.equals(state.role()));
     }
 
-    /** Whether the engine has to load weights to reach this state. */
+    /** Returns whether an engine with the given state has to load weights to reach this desired state. */
     public boolean needsWeightLoad(EngineState state) {
         return !model.equals(state.model()) || !weightsVersion.equals(state.weightsVersion());
     }
--- a/agatelane-core/src/main/java/io/agatelane/core/orders/EngineState.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/orders/EngineState.java
@@ -1,4 +1,4 @@
 package io.agatelane.core.orders;
 
-/** The state that an engine reports. */
+/** State that an engine reports about itself; orders change it. */
 public record EngineState(String model, String weightsVersion, String adapter, String role) {}
--- a/agatelane-core/src/main/java/io/agatelane/core/orders/OrderRecord.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/orders/OrderRecord.java
@@ -1,12 +1,12 @@
 package io.agatelane.core.orders;
 
 /**
- * Value of the key of an engine's order.
+ * Stored order of an engine, written to the engine's order key before the order is sent.
  *
- * @param configRevision configuration from which the desired state follows
- * @param fencingNumber revision of the key before this write
- * @param holderVm router that sends the order
- * @param done whether the engine was seen in the desired state
+ * @param configRevision revision of the configuration that requires the desired state
+ * @param fencingNumber revision of the order key before this write
+ * @param holderVm VM of the router that sends the order
+ * @param done whether the engine has reported the desired state
  */
 public record OrderRecord(
         String upstream,
--- a/agatelane-core/src/main/java/io/agatelane/core/orders/OrderTiming.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/orders/OrderTiming.java
@@ -1,14 +1,14 @@
 package io.agatelane.core.orders;
 
 /**
- * Times of orders.
+ * Time limits of orders.
  *
- * @param leaseMillis time to live of the lease that a sender to engines without fencing holds
- * @param longestOrderMillis longest time from sending an order to its effect
+ * @param leaseMillis time to live of the lease that the sender holds for engines that do not check fencing numbers
+ * @param longestOrderMillis longest time from the sending of an order until it has taken effect
  * @param checkMillis time after which an engine's state is read again
- * @param retryMillis shortest time to the next attempt after a failure
- * @param maxRetryMillis longest time to the next attempt after a failure
- * @param keyFreshMillis largest age of the order's key at the time of sending
+ * @param retryMillis shortest delay before the next attempt after a failure
+ * @param maxRetryMillis longest delay before the next attempt after a failure
+ * @param maxKeyAgeMillis longest time since the order key was read or written, at the time of sending
  */
 public record OrderTiming(
         long leaseMillis,
@@ -16,14 +16,18 @@
         long checkMillis,
         long retryMillis,
         long maxRetryMillis,
-        long keyFreshMillis) {
+        long maxKeyAgeMillis) {
     /**
-     * Loading weights takes 1 s to 2 s, more when several engines load; 15 s leaves room for a slow weight store. The
-     * lease is twice that, so that it can outlast an order and still be renewed in time.
+     * Loading weights takes 1 s to 2 s, more when several engines load at once; the longest order of 15 s leaves room
+     * for a slow weight store. The lease lasts twice as long, so that it outlasts an order and can still be renewed in
+     * time.
      */
     public static final OrderTiming DEFAULT = new OrderTiming(30_000, 15_000, 10_000, 1_000, 30_000, 1_000);
 
-    /** Time for which a new holder of a lease or slot waits, as the last one may have just sent an order. */
+    /**
+     * Returns the time that a new holder of a lease or slot waits, because the previous one may just have sent an
+     * order.
+     */
     public long takeoverMillis() {
         return leaseMillis + longestOrderMillis;
     }
--- a/agatelane-core/src/main/java/io/agatelane/core/orders/SendOutcome.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/orders/SendOutcome.java
@@ -1,13 +1,13 @@
 package io.agatelane.core.orders;
 
-/** How the sending of an order ended. */
+/** Result of sending an order to an engine. */
 public enum SendOutcome {
     /** The engine confirmed that the order is in force. */
     IN_FORCE,
-    /** The engine knows a larger fencing number. */
+    /** The engine rejected the order because it has received a larger fencing number. */
     STALE,
-    /** The engine refused the order or could not be reached; nothing runs. */
+    /** The engine refused the order or could not be reached; the order has no effect. */
     REFUSED,
-    /** The order may be running or may still take effect. */
+    /** It is not known whether the order is running or will still take effect. */
     UNKNOWN
 }
--- a/agatelane-core/src/main/java/io/agatelane/core/orders/command/LoadSlots.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/orders/command/LoadSlots.java
@@ -8,29 +8,33 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** Chooses a slot for a weight load and finds slots whose holder is gone. */
+/**
+ * Chooses a slot for a weight load. Slots are keys in the platform's store that limit how many engines load weights at
+ * once. Also detects slots whose holder has failed. Not thread-safe.
+ */
 public final class LoadSlots {
-    /** At most this many engines load weights at once over the fleet. */
+    /** Largest number of engines in the fleet that load weights at the same time. */
     public static final int SLOTS = 2;
 
     private final OrderTiming timing;
-    private final Map<Integer, Seen> seen = new HashMap<>();
+    private final Map<Integer, ObservedRevision> observed = new HashMap<>();
 
     public LoadSlots(OrderTiming timing) {
         this.timing = timing;
     }
 
-    /** A slot key as read. */
+    /** A taken slot, as read from its key. */
     public record Slot(int index, long revision, String upstream, String holderVm, long holderIncarnation) {}
 
-    /** A slot that may be taken if its revision is still the given one; 0 when the key does not exist. */
+    /** A slot to take by a compare-and-swap on the expected revision, which is 0 when the key does not exist. */
     public record Choice(int index, long expectedRevision) {}
 
     /**
-     * Chooses a slot. A slot whose key did not change for the longest time between taking it and the end of the load is
-     * abandoned: its holder may start no load any more.
+     * Chooses a free slot, else an abandoned one; empty when no slot may be taken now. A slot is abandoned when its key
+     * has not changed for the longest time between taking it and the end of the load; its holder must not start a load
+     * any more.
      *
-     * @param sameModel engines of the same model as the one that is to load, itself included
+     * @param sameModel engines with the same model as the one that is to load, including that one
      */
     public Optional<Choice> choose(List<Slot> taken, Set<String> sameModel, long nowMillis) {
         observe(taken, nowMillis);
@@ -38,14 +42,14 @@
         int loadingSameModel = 0;
         Choice abandoned = null;
         for (Slot slot : taken) {
-            if (nowMillis - seen.get(slot.index()).sinceMillis >= timing.takeoverMillis()) {
+            if (nowMillis - observed.get(slot.index()).observedMillis >= timing.takeoverMillis()) {
                 abandoned = new Choice(slot.index(), slot.revision());
             } else if (sameModel.contains(slot.upstream())) {
                 loadingSameModel++;
             }
             busy.add(slot.index());
         }
-        // One engine of the model keeps serving, where there is more than one.
+        // If several engines have the model, at least one of them must keep serving.
         if (sameModel.size() > 1 && loadingSameModel + 1 >= sameModel.size()) {
             return Optional.empty();
         }
@@ -61,13 +65,13 @@
         Set<Integer> present = new HashSet<>();
         for (Slot slot : taken) {
             present.add(slot.index());
-            Seen old = seen.get(slot.index());
+            ObservedRevision old = observed.get(slot.index());
             if (old == null || old.revision != slot.revision()) {
-                seen.put(slot.index(), new Seen(slot.revision(), nowMillis));
+                observed.put(slot.index(), new ObservedRevision(slot.revision(), nowMillis));
             }
         }
-        seen.keySet().retainAll(present);
+        observed.keySet().retainAll(present);
     }
 
-    private record Seen(long revision, long sinceMillis) {}
+    private record ObservedRevision(long revision, long observedMillis) {}
 }
--- a/agatelane-core/src/main/java/io/agatelane/core/orders/command/OrderMachine.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/orders/command/OrderMachine.java
@@ -9,11 +9,11 @@
 import java.util.Optional;
 
 /**
- * Brings one engine into its desired state. The caller asks for the next step, performs it and reports the result; all
- * times are monotonic milliseconds. Two rules keep a delayed sender from undoing a newer order. Engines that check
- * fencing numbers get the revision of the order's key, which grows with each write. For the others, an order is sent
- * only while the lease lasts longer than the longest order, and a new holder of the lease waits until every order of
- * the one before it must have taken effect.
+ * State machine that brings one engine into its desired state. The caller requests the next step, performs it and
+ * reports the result; all times are monotonic milliseconds. Two rules keep a delayed sender from undoing a newer order.
+ * An engine that checks fencing numbers receives the revision of the order key, which grows with each write. To any
+ * other engine an order is sent only while the remaining lease is longer than the longest order, and a new holder of
+ * the lease waits until every order of the previous holder must have taken effect. Not thread-safe.
  */
 public final class OrderMachine {
     private static final long NEVER = Long.MIN_VALUE / 2;
@@ -29,7 +29,7 @@
 
     private EngineState engine;
     private long engineReadMillis = NEVER;
-    private Optional<OrderRecord> key = Optional.empty();
+    private Optional<OrderRecord> orderRecord = Optional.empty();
     private long keyRevision;
     private long keyReadMillis = NEVER;
     private long keySinceMillis = NEVER;
@@ -51,9 +51,9 @@
     }
 
     /**
-     * Sets what the engine is to reach; empty when this router has nothing to order there.
+     * Sets the desired state of the engine; empty when this router does not send the engine's orders.
      *
-     * @param revision revision of the configuration from which this follows
+     * @param revision revision of the configuration that requires the state
      */
     public void desire(Optional<DesiredState> newDesired, long revision, boolean engineChecksFencing) {
         if (!newDesired.equals(desired)) {
@@ -66,7 +66,7 @@
         checksFencing = engineChecksFencing;
     }
 
-    /** Decides the next step. */
+    /** Returns the next step. */
     public OrderStep next(long nowMillis) {
         if (orderMayRun(nowMillis)) {
             return OrderStep.WAIT;
@@ -75,17 +75,17 @@
             return slotHeld ? OrderStep.RELEASE_SLOT : OrderStep.WAIT;
         }
         if (desired.isEmpty()) {
-            return release();
+            return nextReleaseStep();
         }
         if (nowMillis - engineReadMillis >= timing.checkMillis()) {
             return OrderStep.READ_ENGINE;
         }
-        DesiredState wanted = desired.get();
-        if (wanted.isMetBy(engine)) {
-            return finish(wanted);
+        DesiredState desiredState = desired.get();
+        if (desiredState.isMetBy(engine)) {
+            return nextStepWhenReached(desiredState);
         }
         if (!checksFencing) {
-            OrderStep step = prepareLease(nowMillis);
+            OrderStep step = nextLeaseStep(nowMillis);
             if (step != OrderStep.SEND) {
                 return step;
             }
@@ -93,42 +93,46 @@
         if (nowMillis - keyReadMillis > timing.maxRetryMillis()) {
             return OrderStep.READ_KEY;
         }
-        if (belongsToAnother(wanted, nowMillis)) {
+        if (isOwnedByAnother(desiredState, nowMillis)) {
             waitFor(timing.retryMillis(), nowMillis);
             return slotHeld ? OrderStep.RELEASE_SLOT : OrderStep.WAIT;
         }
         if (slotHeld && nowMillis - slotSinceMillis >= timing.leaseMillis()) {
-            // Others may take the slot for abandoned soon; a load that starts now could be the third one.
+            // Other routers may soon treat the slot as abandoned, so a load that starts now could be a third concurrent
+            // one.
             return OrderStep.RELEASE_SLOT;
         }
-        if (!slotHeld && wanted.needsWeightLoad(engine)) {
+        if (!slotHeld && desiredState.needsWeightLoad(engine)) {
             return OrderStep.TAKE_SLOT;
         }
-        if (nowMillis - keyReadMillis > timing.keyFreshMillis()) {
+        if (nowMillis - keyReadMillis > timing.maxKeyAgeMillis()) {
             return OrderStep.READ_KEY;
         }
-        return isOwnOrder(wanted) ? OrderStep.SEND : OrderStep.WRITE_KEY;
+        return isOwnOrder(desiredState) ? OrderStep.SEND : OrderStep.WRITE_KEY;
     }
 
-    /** Whether the machine holds nothing, so that it can be dropped. */
+    /** Returns whether no slot or lease is held and no order may be running, so that the machine can be dropped. */
     public boolean isIdle(long nowMillis) {
         return !slotHeld && !leaseHeld && !orderMayRun(nowMillis);
     }
 
-    /** The record to write before an order is sent. */
+    /** Returns the record to write before an order is sent. */
     public OrderRecord recordToWrite() {
         return new OrderRecord(
                 upstream, desired.orElseThrow(), configRevision, keyRevision, vmName, incarnation, false);
     }
 
-    /** The record to write once the engine is in the desired state. */
+    /** Returns the record to write once the engine is in the desired state. */
     public OrderRecord recordWhenDone() {
-        OrderRecord record = key.orElseThrow();
+        OrderRecord record = orderRecord.orElseThrow();
         return new OrderRecord(
                 upstream, record.desired(), record.configRevision(), keyRevision, vmName, incarnation, true);
     }
 
-    /** Revision of the key as last read or written: the expected one of the next write and the fencing number. */
+    /**
+     * Returns the revision of the order key as last read or written. It is the expected revision of the next write and
+     * the fencing number of an order.
+     */
     public long keyRevision() {
         return keyRevision;
     }
@@ -137,45 +141,47 @@
         return desired;
     }
 
-    /** Takes the state of the engine; the time is that of the start of the call, here and in the methods below. */
+    /**
+     * Records the state that the engine reported. The time, here and in the methods below, is the start of the call.
+     */
     public void engineRead(EngineState state, long nowMillis) {
         engine = state;
         engineReadMillis = nowMillis;
         if (desired.isPresent() && desired.get().isMetBy(state)) {
             failures = 0;
         } else if (confirmed) {
-            // The engine confirmed the order and is not in the ordered state; sending again at once would not help.
+            // The engine confirmed the order but is not in the ordered state; sending it again at once would not help.
             failed(nowMillis);
         }
         confirmed = false;
     }
 
-    /** Takes the key as read. */
+    /** Records the content of the order key as read. */
     public void keyRead(Optional<OrderRecord> record, long revision, long nowMillis) {
         if (revision != keyRevision) {
             keySinceMillis = nowMillis;
         }
-        key = record;
+        orderRecord = record;
         keyRevision = revision;
         keyReadMillis = nowMillis;
     }
 
-    /** Notes that the record was written, with its new revision. */
+    /** Records that the order key was written and has a new revision. */
     public void keyWritten(OrderRecord record, long revision, long nowMillis) {
         keyRead(Optional.of(record), revision, nowMillis);
     }
 
-    /** Notes that the key may have changed, after a lost or unclear write. */
+    /** Records that the order key may have changed, because a write was lost or its outcome is unknown. */
     public void keyUncertain() {
         keyReadMillis = NEVER;
-        key = Optional.empty();
+        orderRecord = Optional.empty();
     }
 
     /**
-     * Notes that the lease is held.
+     * Records that the lease is held.
      *
-     * @param sinceMillis when the key of the lease was taken
-     * @param untilMillis end of the lease, counted from the start of the call that granted or renewed it
+     * @param sinceMillis time at which this router took the key of the lease
+     * @param untilMillis end of the lease, measured from the start of the call that granted or renewed it
      */
     public void leaseHeld(long sinceMillis, long untilMillis) {
         leaseHeld = true;
@@ -187,7 +193,7 @@
         leaseHeld = false;
     }
 
-    /** Notes that a slot is held; the time is that of the start of the call. */
+    /** Records that a slot is held; the time is the start of the call that took it. */
     public void slotTaken(long sinceMillis) {
         slotHeld = true;
         slotSinceMillis = sinceMillis;
@@ -197,12 +203,12 @@
         slotHeld = false;
     }
 
-    /** Notes that an order is under way. */
+    /** Records that an order is being sent. */
     public void sendStarted(long nowMillis) {
         orderEndsMillis = nowMillis + timing.longestOrderMillis();
     }
 
-    /** Notes how the sending ended; the engine's state is read back in each case. */
+    /** Records the result of sending an order. The engine's state is read again whatever the result. */
     public void sendFinished(SendOutcome outcome, long nowMillis) {
         engineReadMillis = NEVER;
         if (outcome != SendOutcome.UNKNOWN) {
@@ -215,7 +221,7 @@
         }
     }
 
-    /** Delays the next step after a failure, longer with each one. */
+    /** Delays the next step after a failure, with exponential backoff. */
     public void failed(long nowMillis) {
         long delay = Math.min(timing.maxRetryMillis(), timing.retryMillis() << Math.min(failures, 10));
         failures++;
@@ -231,29 +237,29 @@
         return nowMillis < orderEndsMillis;
     }
 
-    private OrderStep prepareLease(long nowMillis) {
+    private OrderStep nextLeaseStep(long nowMillis) {
         if (!leaseHeld || leaseUntilMillis - nowMillis <= timing.longestOrderMillis()) {
             return OrderStep.TAKE_LEASE;
         }
-        long mayOrderMillis = leaseSinceMillis + timing.takeoverMillis();
-        if (nowMillis < mayOrderMillis) {
+        long firstOrderMillis = leaseSinceMillis + timing.takeoverMillis();
+        if (nowMillis < firstOrderMillis) {
             return OrderStep.WAIT;
         }
-        // An order of the last holder may have changed the engine during the wait.
-        return engineReadMillis < mayOrderMillis ? OrderStep.READ_ENGINE : OrderStep.SEND;
+        // An order of the previous lease holder may have changed the engine during the wait.
+        return engineReadMillis < firstOrderMillis ? OrderStep.READ_ENGINE : OrderStep.SEND;
     }
 
-    private OrderStep finish(DesiredState wanted) {
+    private OrderStep nextStepWhenReached(DesiredState desiredState) {
         if (slotHeld) {
             return OrderStep.RELEASE_SLOT;
         }
-        if (keyReadMillis != NEVER && isOwnOrder(wanted)) {
+        if (keyReadMillis != NEVER && isOwnOrder(desiredState)) {
             return OrderStep.MARK_DONE;
         }
         return leaseHeld ? OrderStep.RELEASE_LEASE : OrderStep.WAIT;
     }
 
-    private OrderStep release() {
+    private OrderStep nextReleaseStep() {
         if (slotHeld) {
             return OrderStep.RELEASE_SLOT;
         }
@@ -261,30 +267,30 @@
     }
 
     /**
-     * Whether another router is to bring the engine into its state: one with a newer configuration, which this router
-     * will learn, or one that wrote the same order so recently that it may be sending it.
+     * Returns whether another router is responsible for the engine's state: one with a newer configuration, which this
+     * router has yet to receive, or one that wrote the same order so recently that it may still be sending it.
      */
-    private boolean belongsToAnother(DesiredState wanted, long nowMillis) {
-        if (key.isEmpty()) {
+    private boolean isOwnedByAnother(DesiredState desiredState, long nowMillis) {
+        if (orderRecord.isEmpty()) {
             return false;
         }
-        OrderRecord record = key.get();
+        OrderRecord record = orderRecord.get();
         if (record.configRevision() > configRevision) {
             return true;
         }
         return !record.done()
                 && !record.holderVm().equals(vmName)
                 && record.configRevision() == configRevision
-                && record.desired().equals(wanted)
+                && record.desired().equals(desiredState)
                 && nowMillis - keySinceMillis < timing.takeoverMillis();
     }
 
-    private boolean isOwnOrder(DesiredState wanted) {
-        return key.isPresent()
-                && !key.get().done()
-                && key.get().desired().equals(wanted)
-                && key.get().configRevision() == configRevision
-                && key.get().holderVm().equals(vmName)
-                && key.get().holderIncarnation() == incarnation;
+    private boolean isOwnOrder(DesiredState desiredState) {
+        return orderRecord.isPresent()
+                && !orderRecord.get().done()
+                && orderRecord.get().desired().equals(desiredState)
+                && orderRecord.get().configRevision() == configRevision
+                && orderRecord.get().holderVm().equals(vmName)
+                && orderRecord.get().holderIncarnation() == incarnation;
     }
 }
--- a/agatelane-core/src/main/java/io/agatelane/core/orders/command/package-info.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/orders/command/package-info.java
@@ -1,2 +1,2 @@
-/** State machines that decide the next step of an order; one thread drives them. */
+/** State machines that decide the next step of an order and which slot a weight load takes; not thread-safe. */
 package io.agatelane.core.orders.command;
--- a/agatelane-core/src/main/java/io/agatelane/core/orders/query/OrderPlan.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/orders/query/OrderPlan.java
@@ -12,11 +12,13 @@
 import java.util.TreeMap;
 import java.util.stream.Collectors;
 
-/** What follows from the configuration and the live routers. */
+/**
+ * Determines, from the configuration and the live routers, the desired state of each engine and who sends its orders.
+ */
 public final class OrderPlan {
     private OrderPlan() {}
 
-    /** The engines whose orders a router sends, with their desired states, in name order. */
+    /** Returns the engines whose orders a router sends, with their desired states, in name order. */
     public static Map<String, DesiredState> ordersOf(String vmName, List<String> liveVms, ConfigSnapshot config) {
         List<Long> hashes = new ArrayList<>(liveVms.size());
         liveVms.forEach(name -> hashes.add(Rendezvous.hash(name)));
@@ -24,8 +26,8 @@
         for (Upstream upstream : config.upstreams()) {
             Optional<DesiredState> desired = desiredState(upstream, config);
             if (desired.isPresent()) {
-                int first = Rendezvous.first(Rendezvous.hash("orders/" + upstream.name()), hashes, hash -> hash);
-                if (first >= 0 && liveVms.get(first).equals(vmName)) {
+                int selected = Rendezvous.first(Rendezvous.hash("orders/" + upstream.name()), hashes, hash -> hash);
+                if (selected >= 0 && liveVms.get(selected).equals(vmName)) {
                     orders.put(upstream.name(), desired.get());
                 }
             }
@@ -34,8 +36,8 @@
     }
 
     /**
-     * The state that the configuration wants of an engine: its first model with that model's weights version. A draining
-     * engine is left alone.
+     * Returns the state that the configuration requires of an engine: its first model with that model's weights
+     * version. Empty for an engine that receives no orders, for example because it is draining.
      */
     public static Optional<DesiredState> desiredState(Upstream upstream, ConfigSnapshot config) {
         if (!upstream.isEngine() || upstream.draining() || upstream.models().isEmpty()) {
@@ -46,7 +48,7 @@
                 .map(model -> new DesiredState(model.name(), model.weightsVersion(), "", ""));
     }
 
-    /** Names of the engines that have the same first model. */
+    /** Returns the names of the engines that have the same first model, without draining ones. */
     public static Set<String> enginesOfSameModel(Upstream upstream, ConfigSnapshot config) {
         String model = upstream.models().get(0);
         return config.upstreamsOfModel(model).stream()
