--- a/agatelane-core/src/main/java/io/agatelane/core/failure/AgatelaneException.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/failure/AgatelaneException.java
@@ -5,7 +5,10 @@
 import java.util.concurrent.CompletionException;
 import java.util.concurrent.ExecutionException;
 
-/** A failure with a type, a location and, where it helps the caller, a time to come back. */
+/**
+ * Failure with a type, a location and, where it helps the caller, a time after which to retry. Instances are immutable;
+ * the {@code with} methods return copies.
+ */
 public class AgatelaneException extends RuntimeException {
     private static final long serialVersionUID = 1L;
     private static final long NO_RETRY_AFTER = -1;
@@ -37,17 +40,17 @@
         this.retryAfterMillis = retryAfterMillis;
     }
 
-    /** Returns a copy that names where the failure lies: a JSON pointer, a key or an upstream. */
+    /** Returns a copy with the location of the failure: a JSON pointer, a key or an upstream. */
     public AgatelaneException withLocation(String newLocation) {
         return new AgatelaneException(type, executed, getMessage(), newLocation, retryAfterMillis, getCause());
     }
 
-    /** Returns a copy that tells the caller to come back after the given time. */
+    /** Returns a copy that asks the caller to retry after the given time. */
     public AgatelaneException withRetryAfterMillis(long millis) {
         return new AgatelaneException(type, executed, getMessage(), location, millis, getCause());
     }
 
-    /** Returns a copy with another statement about the execution of the call. */
+    /** Returns a copy that states whether the call may have run, in place of the type's default. */
     public AgatelaneException withExecuted(Executed newExecuted) {
         return new AgatelaneException(type, newExecuted, getMessage(), location, retryAfterMillis, getCause());
     }
@@ -60,7 +63,7 @@
         return executed;
     }
 
-    /** Where the failure lies; empty when unknown. */
+    /** Returns the location of the failure; empty when unknown. */
     public String location() {
         return location;
     }
@@ -69,7 +72,7 @@
         return retryAfterMillis < 0 ? OptionalLong.empty() : OptionalLong.of(retryAfterMillis);
     }
 
-    /** Finds the typed failure inside a throwable, or wraps it as {@link FailureType#INTERNAL}. */
+    /** Unwraps the typed failure in a throwable, or wraps the throwable as {@link FailureType#INTERNAL}. */
     public static AgatelaneException from(Throwable throwable) {
         Throwable current = throwable;
         while ((current instanceof CompletionException || current instanceof ExecutionException)
--- a/agatelane-core/src/main/java/io/agatelane/core/failure/Executed.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/failure/Executed.java
@@ -1,6 +1,6 @@
 package io.agatelane.core.failure;
 
-/** What is known about whether a refused or failed call ran. */
+/** Whether a refused or failed call may have run, which tells the caller if a retry is safe. */
 public enum Executed {
     /** The call certainly did not run. */
     NO("no"),
@@ -13,7 +13,7 @@
         this.wireName = wireName;
     }
 
-    /** The value of the {@code executed} member of a problem document. */
+    /** Returns the value of the {@code executed} member of a problem document. */
     public String wireName() {
         return wireName;
     }
--- a/agatelane-core/src/main/java/io/agatelane/core/failure/FailureType.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/failure/FailureType.java
@@ -1,6 +1,9 @@
 package io.agatelane.core.failure;
 
-/** Every way in which a call, a change or a control operation can fail. */
+/**
+ * Type of a failure of a call, a configuration change or an internal operation, with its HTTP status and whether the
+ * call may have run.
+ */
 public enum FailureType {
     MALFORMED_REQUEST("malformed-request", 400, Executed.NO),
     IDEMPOTENCY_KEY_REQUIRED("idempotency-key-required", 400, Executed.NO),
@@ -41,17 +44,17 @@
         this.executed = executed;
     }
 
-    /** Stable name used in problem documents, logs and metrics. */
+    /** Returns the stable name used in problem documents, logs and metrics. */
     public String code() {
         return code;
     }
 
-    /** HTTP status that a caller gets for this failure. */
+    /** Returns the HTTP status of the response to a caller. */
     public int httpStatus() {
         return httpStatus;
     }
 
-    /** What the failure says about the execution of the call unless the exception says otherwise. */
+    /** Returns whether the call may have run, unless the exception states otherwise. */
     public Executed executed() {
         return executed;
     }
--- a/agatelane-core/src/main/java/io/agatelane/core/hash/PromptDigester.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/hash/PromptDigester.java
@@ -6,16 +6,16 @@
 import java.util.Arrays;
 
 /**
- * Builds the digest chain of a prompt.
+ * Builds the digest chain of a prompt, by which routers and engines recognise shared prefixes.
  *
  * <p>The canonical prompt is {@code role + "\n" + content + "\n"} for each message in UTF-8. A digest covers one block
- * and all blocks before it, so that equal digests mean equal prefixes within the same salt.
+ * and all blocks before it, so equal digests with the same salt mean equal prefixes.
  */
 public final class PromptDigester {
-    /** Bytes in a block. */
+    /** Size of a block in bytes. */
     public static final int BLOCK_BYTES = 1024;
 
-    /** Bytes counted as one token. */
+    /** Number of bytes that are counted as one token when a length is estimated. */
     public static final int BYTES_PER_TOKEN = 4;
 
     private final HashStream64 stream = Hashing.xxh3_64().hashStream();
@@ -26,13 +26,13 @@
     private int digestCount;
     private int[] boundaries = new int[8];
     private int boundaryCount;
-    private long previous;
+    private long lastDigest;
 
     public PromptDigester(String salt) {
-        this.previous = Rendezvous.hash(salt);
+        this.lastDigest = Rendezvous.hash(salt);
     }
 
-    /** Adds one message and marks its end as a prefix level. */
+    /** Adds one message, whose end marks a prefix level: a place at which prompts may begin to differ. */
     public PromptDigester add(String role, String content) {
         addBytes((role + "\n" + content + "\n").getBytes(StandardCharsets.UTF_8));
         if (boundaryCount == boundaries.length) {
@@ -63,11 +63,11 @@
     }
 
     private void closeBlock() {
-        previous = stream.reset().putLong(previous).putBytes(block).getAsLong();
+        lastDigest = stream.reset().putLong(lastDigest).putBytes(block).getAsLong();
         if (digestCount == digests.length) {
             digests = Arrays.copyOf(digests, digestCount * 2);
         }
-        digests[digestCount++] = previous;
+        digests[digestCount++] = lastDigest;
         blockFill = 0;
     }
 }
--- a/agatelane-core/src/main/java/io/agatelane/core/hash/PromptDigests.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/hash/PromptDigests.java
@@ -1,38 +1,38 @@
 package io.agatelane.core.hash;
 
-/** Digest chain of a prompt with the block counts at the ends of its messages. */
+/** Digest chain of a prompt, with the number of whole blocks up to the end of each message. */
 public final class PromptDigests {
     private final long[] digests;
-    private final int[] boundaries;
+    private final int[] blocksAtLevels;
     private final long totalBytes;
 
-    PromptDigests(long[] digests, int[] boundaries, long totalBytes) {
+    PromptDigests(long[] digests, int[] blocksAtLevels, long totalBytes) {
         this.digests = digests;
-        this.boundaries = boundaries;
+        this.blocksAtLevels = blocksAtLevels;
         this.totalBytes = totalBytes;
     }
 
-    /** Number of whole blocks. */
+    /** Returns the number of whole blocks. */
     public int blockCount() {
         return digests.length;
     }
 
-    /** Digest of the blocks up to and including the one at this index. */
+    /** Returns the digest of the blocks up to and including the one at this index. */
     public long digest(int blockIndex) {
         return digests[blockIndex];
     }
 
-    /** Number of messages. */
+    /** Returns the number of prefix levels, one for each message. */
     public int levelCount() {
-        return boundaries.length;
+        return blocksAtLevels.length;
     }
 
-    /** Number of whole blocks from the start of the prompt to the end of a message. */
+    /** Returns the number of whole blocks from the start of the prompt to the end of the message at this level. */
     public int blocksAtLevel(int level) {
-        return boundaries[level];
+        return blocksAtLevels[level];
     }
 
-    /** Prompt length in tokens, counted as {@link PromptDigester#BYTES_PER_TOKEN} bytes each. */
+    /** Returns the estimated prompt length in tokens of {@link PromptDigester#BYTES_PER_TOKEN} bytes each. */
     public int tokenCount() {
         return (int) Math.min(Integer.MAX_VALUE, totalBytes / PromptDigester.BYTES_PER_TOKEN + 1);
     }
--- a/agatelane-core/src/main/java/io/agatelane/core/hash/Rendezvous.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/hash/Rendezvous.java
@@ -5,16 +5,18 @@
 import java.util.List;
 import java.util.function.ToLongFunction;
 
-/** Rendezvous (highest random weight) hashing. */
+/** Rendezvous hashing, also called highest random weight hashing: a key belongs to the node with the highest weight. */
 public final class Rendezvous {
     private Rendezvous() {}
 
-    /** Hash of a name; stable over processes and versions. */
+    /** Returns the hash of a name, which is the same in all processes and versions. */
     public static long hash(String name) {
         return Hashing.xxh3_64().hashBytesToLong(name.getBytes(StandardCharsets.UTF_8));
     }
 
-    /** Weight of a node for a key; both are hashes. */
+    /**
+     * Returns the weight of a node for a key, computed from the hashes of both; weights compare as unsigned numbers.
+     */
     public static long weight(long keyHash, long nodeHash) {
         // The finaliser of SplitMix64 mixes both hashes so that every input bit changes every output bit.
         long mixed = keyHash ^ Long.rotateLeft(nodeHash, 32) ^ nodeHash * 0x9E3779B97F4A7C15L;
@@ -23,15 +25,15 @@
         return mixed ^ (mixed >>> 31);
     }
 
-    /** Folds a hash to the 32 bits that {@link #weights} takes. */
+    /** Folds a hash to the 32 bits that {@link #weights} takes as input. */
     public static int fold(long hash) {
         long mixed = hash * 0x9E3779B97F4A7C15L;
         return (int) (mixed >>> 32);
     }
 
     /**
-     * Computes 32-bit weights of many nodes for one key. The loop has int operations only, so that the compiler can turn
-     * it into vector instructions, which it cannot do with 64-bit multiplications on most processors.
+     * Computes 32-bit weights of many nodes for one key. The loop has int operations only, so that the compiler can
+     * turn it into vector instructions; most processors have none for 64-bit multiplication.
      *
      * @param keyFold folded hash of the key
      * @param nodeFolds folded hashes of the nodes
@@ -47,7 +49,7 @@
         }
     }
 
-    /** Index of the node with the highest weight; -1 when there are no nodes. */
+    /** Returns the index of the node with the highest weight; -1 when there are no nodes. */
     public static <T> int first(long keyHash, List<T> nodes, ToLongFunction<T> nodeHash) {
         int best = -1;
         long bestWeight = 0;
--- a/agatelane-core/src/main/java/io/agatelane/core/package-info.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/package-info.java
@@ -1,2 +1,5 @@
-/** Decision code without I/O and without a clock, for the router and for embedding. */
+/**
+ * Decision logic of the router without I/O and without a clock, so that it can be embedded and its decisions repeated
+ * in tests.
+ */
 package io.agatelane.core;
--- a/agatelane-core/src/test/java/io/agatelane/core/ArchitectureTest.java
+++ b/agatelane-core/src/test/java/io/agatelane/core/ArchitectureTest.java
@@ -18,7 +18,7 @@
 import java.util.stream.Stream;
 import org.testng.annotations.Test;
 
-/** Guards the rules that keep the core embeddable and its decisions repeatable. */
+/** Guards against dependencies that would make the core hard to embed or its decisions not repeatable. */
 public final class ArchitectureTest {
     private static final Path SOURCES = Path.of("src", "main", "java");
     private static final Pattern IMPORT = Pattern.compile("^import (?:static )?([a-z0-9.]+)\\.", Pattern.MULTILINE);
@@ -108,7 +108,7 @@
                 visitor.visit(SOURCES.relativize(file).toString(), Files.readString(file));
             }
         } catch (IOException e) {
-            throw new IllegalStateException("the sources cannot be read", e);
+            throw new IllegalStateException("failed to read the source files of the core", e);
         }
     }
 
--- a/agatelane-core/src/test/java/io/agatelane/core/hash/PromptDigesterTest.java
+++ b/agatelane-core/src/test/java/io/agatelane/core/hash/PromptDigesterTest.java
@@ -5,7 +5,7 @@
 
 import org.testng.annotations.Test;
 
-/** Guards the digest chain that routers and engines must compute alike. */
+/** Guards against digest chains that routers and engines compute differently, or that merge different prompts. */
 public final class PromptDigesterTest {
     private static final String REGULATIONS = "r".repeat(5_000);
 
@@ -28,7 +28,7 @@
     }
 
     @Test
-    public void messageBoundariesAreNotLostByMovingTextBetweenMessages() {
+    public void movingTextBetweenMessagesChangesTheDigest() {
         PromptDigests joined = digests("s", "a".repeat(1_010) + "bc", "d".repeat(2_000));
         PromptDigests split = digests("s", "a".repeat(1_010) + "b", "c" + "d".repeat(2_000));
         assertNotEquals(joined.digest(0), split.digest(0));
