--- a/agatelane-core/src/test/java/io/agatelane/core/booking/command/PartitionMachineTest.java
+++ b/agatelane-core/src/test/java/io/agatelane/core/booking/command/PartitionMachineTest.java
@@ -60,7 +60,7 @@
         assertEquals(reply(machine.claim(now(), 5, KEY, FIRST, DIGEST), 5).verdict(), Verdict.GRANTED);
     }
 
-    /** Guards against a different request with the same key that is run, or treated as a retry of the first request. */
+    /** Guards against running a different request that reuses the key, and against taking a retry for such a request. */
     @Test
     public void otherRequestWithTheKeyIsRefused() {
         grant(KEY, FIRST, 1);
