--- a/agatelane-core/src/main/java/io/agatelane/core/failure/AgatelaneException.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/failure/AgatelaneException.java
@@ -6,8 +6,8 @@
 import java.util.concurrent.ExecutionException;
 
 /**
- * Failure with a type, a location and, where it helps the caller, a time after which to retry. Instances are immutable;
- * the {@code with} methods return copies.
+ * Failure with a type, a location and, where it helps the caller, a time after which to retry. The {@code with} methods
+ * return copies.
  */
 public class AgatelaneException extends RuntimeException {
     private static final long serialVersionUID = 1L;
--- a/agatelane-core/src/main/java/io/agatelane/core/hash/Rendezvous.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/hash/Rendezvous.java
@@ -33,7 +33,7 @@
 
     /**
      * Computes 32-bit weights of many nodes for one key. The loop has int operations only, so that the compiler can
-     * turn it into vector instructions; most processors have none for 64-bit multiplication.
+     * turn it into vector instructions, which on most processors it cannot do with 64-bit multiplications.
      *
      * @param keyFold folded hash of the key
      * @param nodeFolds folded hashes of the nodes
