--- a/agatelane-node/src/main/java/io/agatelane/node/io/gossip/GossipCodec.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/io/gossip/GossipCodec.java
@@ -16,7 +16,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Translates between the messages of the protocol and {@code GossipPacket}. */
+/** Encodes and decodes messages of the SWIM protocol as {@link GossipPacket}. */
 final class GossipCodec {
     private GossipCodec() {}
 
@@ -37,7 +37,7 @@
     }
 
     /**
-     * Parses a packet.
+     * Decodes a datagram.
      *
      * @throws AgatelaneException with {@code MALFORMED_REQUEST} or {@code INVALID_OBJECT}
      */
@@ -46,7 +46,7 @@
         try {
             packet = GossipPacket.parseFrom(bytes);
         } catch (InvalidProtocolBufferException e) {
-            throw new AgatelaneException(FailureType.MALFORMED_REQUEST, "not a gossip packet", e);
+            throw new AgatelaneException(FailureType.MALFORMED_REQUEST, "the datagram is not a GossipPacket", e);
         }
         List<MemberRecord> members = new ArrayList<>(packet.getMembersCount());
         packet.getMembersList().forEach(update -> members.add(toRecord(update)));
@@ -100,7 +100,7 @@
             case JOIN -> SwimMessage.Type.JOIN;
             case GOSSIP -> SwimMessage.Type.GOSSIP;
             case SYNC -> SwimMessage.Type.SYNC;
-            default -> throw malformed("type of packet");
+            default -> throw malformed("packet type");
         };
     }
 
--- a/agatelane-node/src/main/java/io/agatelane/node/io/gossip/GossipHint.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/io/gossip/GossipHint.java
@@ -9,9 +9,9 @@
 import java.util.HexFormat;
 
 /**
- * A hint with its message.
+ * A hint that wraps the protobuf message sent to other routers.
  *
- * @param sizeBytes encoded size with tag and length
+ * @param sizeBytes encoded size in a packet, with field tag and length prefix
  */
 record GossipHint(
         HintScope scope, String key, long sequence, int sizeBytes, long lifetimeMillis, boolean urgent, Message message)
@@ -23,13 +23,13 @@
     private static final int TAG_AND_LENGTH_BYTES = 3;
 
     static GossipHint of(UpstreamDigest digest) {
-        // A leaving upstream must get no new work within 3 s, so this goes before load figures.
+        // A draining upstream must stop receiving new requests within 3 s, so these digests precede plain load figures.
         boolean urgent = digest.getDraining() || digest.getProbation();
         return new GossipHint(
                 HintScope.AVAILABILITY_ZONE,
                 "upstream:" + digest.getUpstream(),
                 digest.getSequence(),
-                size(digest),
+                encodedSize(digest),
                 DIGEST_LIFETIME_MILLIS,
                 urgent,
                 digest);
@@ -41,7 +41,7 @@
                 "quarantine:"
                         + HexFormat.of().formatHex(quarantine.getFingerprint().toByteArray()),
                 quarantine.getCrashes(),
-                size(quarantine),
+                encodedSize(quarantine),
                 Math.max(0, quarantine.getRemainingMillis()),
                 false,
                 quarantine);
@@ -52,13 +52,13 @@
                 HintScope.REGION,
                 "usage:" + usage.getVm() + '/' + usage.getClientAccount(),
                 usage.getSequence(),
-                size(usage),
+                encodedSize(usage),
                 USAGE_LIFETIME_MILLIS,
                 false,
                 usage);
     }
 
-    private static int size(Message message) {
+    private static int encodedSize(Message message) {
         return message.getSerializedSize() + TAG_AND_LENGTH_BYTES;
     }
 }
--- a/agatelane-node/src/main/java/io/agatelane/node/io/gossip/GossipMembership.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/io/gossip/GossipMembership.java
@@ -36,8 +36,8 @@
 import java.util.function.Consumer;
 
 /**
- * Membership of routers and exchange of hints over UDP. The protocol runs on the control thread; queries and
- * publications are safe on every thread.
+ * SWIM membership of the routers and exchange of hints over UDP. The protocol runs on the control thread; queries and
+ * {@code publish} are safe on every thread.
  */
 public final class GossipMembership implements MembershipView, DigestExchange, AutoCloseable {
     private static final EventLog LOG = EventLog.of(GossipMembership.class);
@@ -80,7 +80,7 @@
     }
 
     /**
-     * Binds the socket and begins to join; returns without waiting for other routers or the platform.
+     * Binds the socket and starts to join the fleet; returns without waiting for other routers or the platform.
      *
      * @throws AgatelaneException with {@code INVALID_SETTINGS} when the address cannot be bound or a seed is malformed
      */
@@ -90,12 +90,13 @@
         for (InetSocketAddress seed : settings.seeds()) {
             String text = SocketAddresses.format(seed);
             if (SocketAddresses.parse(text).isEmpty()) {
-                throw new AgatelaneException(FailureType.INVALID_SETTINGS, "the seed " + text + " is no IP:PORT")
+                throw new AgatelaneException(
+                                FailureType.INVALID_SETTINGS, "the seed " + text + " is not of the form IP:PORT")
                         .withLocation("/seeds");
             }
             seeds.add(text);
         }
-        socket = UdpSocket.bind(settings.peerAddress(), "gossip-" + settings.vmName(), this::packetArrived);
+        socket = UdpSocket.bind(settings.peerAddress(), "gossip-" + settings.vmName(), this::packetReceived);
         InetSocketAddress bound = new InetSocketAddress(settings.peerAddress().getAddress(), socket.port());
         context.control().execute(() -> {
             protocol.setAddress(SocketAddresses.format(bound));
@@ -119,7 +120,7 @@
         return socket.port();
     }
 
-    /** Sets the revision of the configuration in force here, which the other routers learn. */
+    /** Sets the configuration revision in force on this router and announces it to the other routers. */
     public void setConfigRevision(long revision) {
         context.control().execute(() -> {
             protocol.setConfigRevision(revision);
@@ -127,12 +128,15 @@
         });
     }
 
-    /** Calls the listener on the control thread when a peer has a higher revision than last heard. */
+    /**
+     * Registers a listener that is called on the control thread with a peer's name and configuration revision when that
+     * peer announces a higher revision than before.
+     */
     public void onRevision(BiConsumer<String, Long> listener) {
         revisionListeners.add(listener);
     }
 
-    /** Tells the other routers that this one takes no new work. */
+    /** Announces to the other routers that this one is leaving and accepts no new requests. */
     public void announceLeaving() {
         context.control().execute(() -> {
             protocol.announceLeaving(now());
@@ -218,7 +222,7 @@
         }
     }
 
-    private void packetArrived(InetSocketAddress from, byte[] bytes) {
+    private void packetReceived(InetSocketAddress from, byte[] bytes) {
         SwimMessage message;
         try {
             message = GossipCodec.decode(ByteBuffer.wrap(bytes));
@@ -239,13 +243,13 @@
             if (!closed) {
                 protocol.learn(members, now());
                 refreshView();
-                ensureListed(members);
+                writeOwnKeyIfMissing(members);
             }
         }));
     }
 
-    /** Writes the own entry at the start, and again when the platform was unavailable then or lost the entry. */
-    private void ensureListed(List<MemberRecord> listed) {
+    /** Writes this router's entry at start, and again if the platform was unavailable then or lost the entry. */
+    private void writeOwnKeyIfMissing(List<MemberRecord> listed) {
         MemberRecord self = protocol.snapshot().self();
         boolean current = listed.stream()
                 .anyMatch(entry -> entry.name().equals(self.name())
@@ -318,16 +322,16 @@
         @Override
         public void memberForgotten(MemberRecord last) {
             LOG.event("member_forgotten").with("member", last.name()).info();
-            // One router deletes the key; the others would only repeat the call.
+            // One live router, chosen by rendezvous hashing, deletes the key; the others would repeat the same call.
             List<Member> live = liveMembers();
-            int first = Rendezvous.first(Rendezvous.hash(last.name()), live, member -> Rendezvous.hash(member.name()));
-            if (first >= 0 && live.get(first).name().equals(self().name())) {
+            int chosen = Rendezvous.first(Rendezvous.hash(last.name()), live, member -> Rendezvous.hash(member.name()));
+            if (chosen >= 0 && live.get(chosen).name().equals(self().name())) {
                 memberKeys.delete(last);
             }
         }
     }
 
-    /** Immutable view for other threads. */
+    /** Immutable membership snapshot that other threads read. */
     private static final class View {
         private final long version;
         private final Member self;
--- a/agatelane-node/src/main/java/io/agatelane/node/io/gossip/MemberKeys.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/io/gossip/MemberKeys.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.function.Consumer;
 
-/** The platform's list of routers under {@code members/}. All calls are best effort: a failure is logged only. */
+/** Reads and writes the platform's list of routers under {@code members/}. Failures are only logged. */
 final class MemberKeys {
     static final String PREFIX = "members/";
     private static final EventLog LOG = EventLog.of(MemberKeys.class);
@@ -24,7 +24,7 @@
         this.store = store;
     }
 
-    /** Writes the entry of a router in place of the one from its last start. */
+    /** Writes the entry of a router and replaces the one of its previous start. */
     void write(MemberRecord member) {
         String key = PREFIX + member.name();
         byte[] value = GossipCodec.toUpdate(member).toByteArray();
@@ -34,19 +34,19 @@
                 .whenComplete((revision, failure) -> logFailure("member_key_write_failed", key, failure));
     }
 
-    /** Reads all entries; malformed ones are logged and left out. A failed read is only logged. */
-    void read(Consumer<List<MemberRecord>> reader) {
+    /** Reads all entries. Malformed ones are logged and left out; after a failed read the consumer is not called. */
+    void read(Consumer<List<MemberRecord>> consumer) {
         var unused = store.list(PREFIX).whenComplete((values, failure) -> {
             logFailure("member_list_read_failed", PREFIX, failure);
             if (failure == null) {
                 List<MemberRecord> members = new ArrayList<>(values.size());
                 values.forEach(value -> parse(value).ifPresent(members::add));
-                reader.accept(members);
+                consumer.accept(members);
             }
         });
     }
 
-    /** Deletes the entry of a dead router unless a later start of it wrote a new one. */
+    /** Deletes the entry of a dead router unless a later incarnation has replaced it. */
     void delete(MemberRecord dead) {
         String key = PREFIX + dead.name();
         var unused = store.get(key)
--- a/agatelane-node/src/main/java/io/agatelane/node/io/gossip/SocketAddresses.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/io/gossip/SocketAddresses.java
@@ -6,7 +6,7 @@
 import java.net.UnknownHostException;
 import java.util.Optional;
 
-/** Text form {@code IP:PORT} of addresses; IPv6 in brackets. */
+/** Formats and parses socket addresses as {@code IP:PORT}, with IPv6 addresses in brackets. */
 final class SocketAddresses {
     private static final int MAX_PORT = 65_535;
 
@@ -19,7 +19,7 @@
         return host.indexOf(':') >= 0 ? '[' + host + "]:" + address.getPort() : host + ':' + address.getPort();
     }
 
-    /** Parses an address; empty when malformed. Host names are not looked up, as that could block. */
+    /** Parses an address; empty when malformed. Host names are not resolved, as that could block. */
     static Optional<InetSocketAddress> parse(String text) {
         int colon = text.lastIndexOf(':');
         if (colon <= 0) {
--- a/agatelane-node/src/main/java/io/agatelane/node/io/gossip/UdpSocket.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/io/gossip/UdpSocket.java
@@ -16,7 +16,7 @@
 import java.net.InetSocketAddress;
 import java.util.concurrent.TimeUnit;
 
-/** A bound UDP socket. */
+/** A bound UDP socket that passes received datagrams to a {@link Receiver}. */
 public final class UdpSocket implements AutoCloseable {
     private final EventLoopGroup group;
     private final Channel channel;
@@ -26,14 +26,14 @@
         this.channel = channel;
     }
 
-    /** Takes packets on the thread of the socket. */
+    /** Receives datagrams on the event loop thread of the socket. */
     @FunctionalInterface
     public interface Receiver {
         void receive(InetSocketAddress from, byte[] bytes);
     }
 
     /**
-     * Binds a socket.
+     * Binds a socket and starts to receive.
      *
      * @throws AgatelaneException with {@code INVALID_SETTINGS} when the address cannot be bound
      */
@@ -58,7 +58,7 @@
         return ((InetSocketAddress) channel.localAddress()).getPort();
     }
 
-    /** Sends a packet; it may be lost. */
+    /** Sends a datagram without waiting; losses are not reported. */
     public void send(InetSocketAddress target, byte[] bytes) {
         var unused =
                 channel.writeAndFlush(new DatagramPacket(Unpooled.wrappedBuffer(bytes), target), channel.voidPromise());
@@ -90,7 +90,7 @@
 
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-            // A failed send or an ICMP answer concerns one packet; the protocol treats it as lost.
+            // A failed send or an ICMP error affects one packet, which the protocol treats as lost.
         }
     }
 }
--- a/agatelane-node/src/test/java/io/agatelane/node/io/gossip/GossipCodecTest.java
+++ b/agatelane-node/src/test/java/io/agatelane/node/io/gossip/GossipCodecTest.java
@@ -23,9 +23,9 @@
 import org.testng.annotations.Test;
 
 public final class GossipCodecTest {
-    // Guards against packets larger than the protocol reckons, and against fields lost on the wire.
+    // Guards against packets that exceed the size that the protocol computes, and against fields lost in encoding.
     @Test
-    public void encodedPacketsAreNotLargerThanReckoned() {
+    public void encodedPacketsDoNotExceedComputedSize() {
         Random random = new Random(3);
         for (int i = 0; i < 2_000; i++) {
             SwimMessage message = randomMessage(random);
@@ -35,7 +35,7 @@
         }
     }
 
-    // Guards against malformed packets that end the control thread's work or enter the table.
+    // Guards against malformed packets that stop the control thread or enter the member table.
     @Test
     public void malformedPacketsAreTypedFailures() {
         byte[] noise = {1, 2, 3, 4};
@@ -58,7 +58,7 @@
                 "[2001:db8:0:0:0:0:0:1]:7");
     }
 
-    // Prints the CPU time of the codec for the capacity page; the simulated network passes messages without encoding.
+    // Prints the CPU time of the codec, which capacity estimates need: the simulated network does not encode messages.
     @Test
     public void cpuTimeOfFullPackets() {
         Random random = new Random(4);
--- a/agatelane-node/src/test/java/io/agatelane/node/io/gossip/GossipMembershipTest.java
+++ b/agatelane-node/src/test/java/io/agatelane/node/io/gossip/GossipMembershipTest.java
@@ -49,9 +49,9 @@
         control.close();
     }
 
-    // Guards against routers that do not find each other over real sockets when the platform is out.
+    // Guards against routers that do not find each other over real sockets when the platform is unavailable.
     @Test
-    public void joinsThroughSeedsWhileThePlatformIsOut() throws Exception {
+    public void joinsThroughSeedsWhileThePlatformIsUnavailable() throws Exception {
         FakeKeyValueStore store = new FakeKeyValueStore(new FakeControl());
         store.setOutage(true);
         GossipMembership first = start("r1", List.of(), store);
@@ -62,7 +62,7 @@
         await(first, members -> members.size() == 3);
     }
 
-    // Guards against hints, revisions and the leaving state being lost between the facade and the wire.
+    // Guards against hints, revisions and the leaving state being lost between GossipMembership and the wire.
     @Test
     public void carriesHintsRevisionsAndLeaving() throws Exception {
         FakeKeyValueStore store = new FakeKeyValueStore(new FakeControl());
@@ -101,7 +101,7 @@
                 .anyMatch(member -> member.name().equals("r2") && member.state() == MemberState.LEAVING));
     }
 
-    // Guards against a start that leaves no entry by which later routers find this one without seeds.
+    // Guards against a router that writes no member key at start, so that routers without seeds cannot find it.
     @Test
     public void joinsThroughThePlatformsList() throws Exception {
         FakeKeyValueStore store = new FakeKeyValueStore(new FakeControl());
@@ -113,7 +113,7 @@
         assertTrue(store.backup().containsKey("members/r1"));
     }
 
-    // Guards against entries of dead routers that stay in the platform's list, and against deleting a newer one.
+    // Guards against entries of dead routers that stay in the platform's list, and against deleting a newer entry.
     @Test
     public void deletesTheKeysOfForgottenRouters() {
         FakeControl clock = new FakeControl();
@@ -136,7 +136,7 @@
         assertEquals(store.backup().keySet(), Set.of("members/r1", "members/r9"));
     }
 
-    // Guards against a router that is missing from the platform's list for good after an outage at its start.
+    // Guards against a router that never enters the platform's list because of an outage at its start.
     @Test
     public void writesItsKeyAfterAnOutage() {
         FakeControl clock = new FakeControl();
