--- a/agatelane-node/src/main/java/io/agatelane/node/io/peer/BoundedFrameDecoder.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/io/peer/BoundedFrameDecoder.java
@@ -12,12 +12,12 @@
 import java.util.List;
 
 /**
- * Reads frames with a varint length in front. Netty's decoder of this format accepts frames of any length, which would
- * let one peer exhaust the memory of another.
+ * Decodes frames that are prefixed with their length as a varint. Netty's decoder of this format accepts frames of any
+ * length, which would let one peer exhaust the memory of another.
  */
 final class BoundedFrameDecoder extends ByteToMessageDecoder {
-    private static final int MAX_LENGTH_BYTES = 5;
-    private static final int BITS_PER_BYTE = 7;
+    private static final int MAX_LENGTH_PREFIX_BYTES = 5;
+    private static final int BITS_PER_VARINT_BYTE = 7;
 
     private final int maxFrameBytes;
 
@@ -35,7 +35,7 @@
         }
         if (length > maxFrameBytes) {
             in.skipBytes(in.readableBytes());
-            throw new TooLongFrameException("a frame of " + length + " bytes exceeds the bound of " + maxFrameBytes);
+            throw new TooLongFrameException("the frame of " + length + " bytes exceeds the limit of " + maxFrameBytes);
         }
         if (in.readableBytes() < length) {
             in.readerIndex(start);
@@ -45,23 +45,23 @@
         try {
             out.add(PeerFrame.parseFrom(new ByteBufInputStream(frame)));
         } catch (InvalidProtocolBufferException e) {
-            throw new CorruptedFrameException("a frame is not a PeerFrame", e);
+            throw new CorruptedFrameException("the frame is not a valid PeerFrame", e);
         }
     }
 
-    // Returns -1 when the length is not complete yet.
+    // Returns -1 while the length prefix is incomplete.
     private static long readLength(ByteBuf in) {
         long length = 0;
-        for (int i = 0; i < MAX_LENGTH_BYTES; i++) {
+        for (int i = 0; i < MAX_LENGTH_PREFIX_BYTES; i++) {
             if (!in.isReadable()) {
                 return -1;
             }
             int next = in.readByte();
-            length |= (long) (next & 0x7F) << (i * BITS_PER_BYTE);
+            length |= (long) (next & 0x7F) << (i * BITS_PER_VARINT_BYTE);
             if (next >= 0) {
                 return length;
             }
         }
-        throw new CorruptedFrameException("the length of a frame is not a varint of 32 bits");
+        throw new CorruptedFrameException("the frame length is not a 32-bit varint");
     }
 }
--- a/agatelane-node/src/main/java/io/agatelane/node/io/peer/Channels.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/io/peer/Channels.java
@@ -4,11 +4,11 @@
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
 
-/** Writes to a connection. A failed write closes the connection, which is how its failure becomes known. */
+/** Writes frames to a connection. A failed write closes the connection; its listener is notified of the close. */
 final class Channels {
     private Channels() {}
 
-    static void send(Channel channel, PeerFrame frame) {
+    static void writeAndFlush(Channel channel, PeerFrame frame) {
         write(channel, frame);
         channel.flush();
     }
--- a/agatelane-node/src/main/java/io/agatelane/node/io/peer/LocalCall.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/io/peer/HandlerInvoker.java
@@ -5,21 +5,21 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.function.BiConsumer;
 
-/** Runs a handler so that an exception it throws is delivered like a failed future. */
-final class LocalCall {
-    private LocalCall() {}
+/** Invokes request handlers and treats an exception that a handler throws like a failed future. */
+final class HandlerInvoker {
+    private HandlerInvoker() {}
 
-    static void run(
+    static void invoke(
             PeerTransport.Handler handler,
             String fromVm,
             PeerFrame frame,
-            BiConsumer<? super PeerFrame, Throwable> onEnd) {
+            BiConsumer<? super PeerFrame, Throwable> onCompletion) {
         CompletableFuture<PeerFrame> result;
         try {
             result = handler.handle(fromVm, frame);
         } catch (RuntimeException e) {
             result = CompletableFuture.failedFuture(e);
         }
-        CompletableFuture<PeerFrame> unused = result.whenComplete(onEnd);
+        CompletableFuture<PeerFrame> unused = result.whenComplete(onCompletion);
     }
 }
--- a/agatelane-node/src/main/java/io/agatelane/node/io/peer/InboundConnection.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/io/peer/InboundConnection.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.Function;
 
-/** A connection that another router opened to send requests to this one. */
+/** A connection that another router opened to send requests to this router. */
 final class InboundConnection implements PeerPipeline.FrameListener {
     private static final EventLog LOG = EventLog.of(InboundConnection.class);
 
@@ -20,9 +20,9 @@
     private final PeerFrame hello;
     private final Function<PeerFrame.BodyCase, PeerTransport.Handler> handlers;
     private final Runnable onClose;
-    private final AtomicInteger running = new AtomicInteger();
+    private final AtomicInteger runningRequests = new AtomicInteger();
     private volatile String peerName = "";
-    private volatile long lastFrameMillis;
+    private volatile long lastReceivedMillis;
 
     InboundConnection(
             NodeContext context,
@@ -35,25 +35,25 @@
         this.hello = hello;
         this.handlers = handlers;
         this.onClose = onClose;
-        this.lastFrameMillis = context.timers().monotonicMillis();
+        this.lastReceivedMillis = context.timers().monotonicMillis();
     }
 
     @Override
-    public void active() {
-        Channels.send(channel, hello);
+    public void connected() {
+        Channels.writeAndFlush(channel, hello);
     }
 
     @Override
-    public void frame(PeerFrame frame) {
-        lastFrameMillis = context.timers().monotonicMillis();
+    public void frameReceived(PeerFrame frame) {
+        lastReceivedMillis = context.timers().monotonicMillis();
         switch (frame.getBodyCase()) {
             case HELLO -> peerName = frame.getHello().getVmName();
-            case HEARTBEAT -> Channels.send(
+            case HEARTBEAT -> Channels.writeAndFlush(
                     channel,
                     PeerFrame.newBuilder()
                             .setHeartbeat(PeerHeartbeat.newBuilder().setReply(true))
                             .build());
-            default -> request(frame);
+            default -> handleRequest(frame);
         }
     }
 
@@ -71,9 +71,9 @@
         onClose.run();
     }
 
-    /** Closes the connection when it delivered no frame for the given time. */
-    void closeIfSilent(long nowMillis, long silenceMillis) {
-        if (nowMillis - lastFrameMillis >= silenceMillis) {
+    /** Closes the connection if no frame was received for the given time. */
+    void closeIfUnresponsive(long nowMillis, long receiveTimeoutMillis) {
+        if (nowMillis - lastReceivedMillis >= receiveTimeoutMillis) {
             Channels.close(channel);
         }
     }
@@ -82,7 +82,7 @@
         Channels.close(channel);
     }
 
-    private void request(PeerFrame frame) {
+    private void handleRequest(PeerFrame frame) {
         PeerTransport.Handler handler = handlers.apply(frame.getBodyCase());
         if (handler == null || peerName.isEmpty()) {
             respond(
@@ -91,8 +91,8 @@
                             new AgatelaneException(FailureType.NOT_FOUND, "no handler for " + frame.getBodyCase())));
             return;
         }
-        if (running.incrementAndGet() > NettyPeerTransport.MAX_OUTSTANDING) {
-            running.decrementAndGet();
+        if (runningRequests.incrementAndGet() > NettyPeerTransport.MAX_OUTSTANDING_REQUESTS) {
+            runningRequests.decrementAndGet();
             respond(
                     frame,
                     PeerErrors.toFrame(new AgatelaneException(
@@ -100,8 +100,8 @@
             return;
         }
         context.control()
-                .execute(() -> LocalCall.run(handler, peerName, frame, (response, failure) -> {
-                    running.decrementAndGet();
+                .execute(() -> HandlerInvoker.invoke(handler, peerName, frame, (response, failure) -> {
+                    runningRequests.decrementAndGet();
                     respond(frame, failure == null ? response : PeerErrors.toFrame(failure));
                 }));
     }
@@ -114,9 +114,9 @@
             respond(
                     request,
                     PeerErrors.toFrame(new AgatelaneException(
-                            FailureType.BODY_TOO_LARGE, "the response exceeds the bound of a frame")));
+                            FailureType.BODY_TOO_LARGE, "the response exceeds the frame size limit")));
             return;
         }
-        Channels.send(channel, frame);
+        Channels.writeAndFlush(channel, frame);
     }
 }
--- a/agatelane-node/src/main/java/io/agatelane/node/io/peer/NettyPeerTransport.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/io/peer/NettyPeerTransport.java
@@ -26,28 +26,31 @@
 import java.util.function.Supplier;
 
 /**
- * Requests between routers over TCP. A router opens one connection to each router that it sends requests to, and closes
- * it after {@value #UNUSED_MILLIS} ms without a request. Responses and failures are delivered on the control thread.
- * Beside {@code PEER_UNREACHABLE}, a request fails with {@code OVERLOADED} when too many are outstanding and with
- * {@code BODY_TOO_LARGE} when it exceeds a frame; in both cases nothing was sent.
+ * Sends requests between routers over TCP. A router opens one connection to each router that it sends requests to, and
+ * closes it after {@value #IDLE_TIMEOUT_MILLIS} ms without a request. Responses and failures are delivered on the
+ * control thread. Beside {@code PEER_UNREACHABLE}, a request fails with {@code OVERLOADED} when too many requests are
+ * outstanding and with {@code BODY_TOO_LARGE} when it exceeds the frame size limit; in both cases nothing was sent.
  */
 public final class NettyPeerTransport implements PeerTransport, AutoCloseable {
-    /** Largest frame: an answer of 900 KB or a whole configuration fits several times. */
+    /** Largest size of a frame; it exceeds a response of 900 KB and a whole configuration several times. */
     static final int MAX_FRAME_BYTES = 8 << 20;
 
-    /** Largest number of requests to one peer without a response. */
-    static final int MAX_OUTSTANDING = 10_000;
+    /** Largest number of requests to one peer that have no response yet. */
+    static final int MAX_OUTSTANDING_REQUESTS = 10_000;
 
-    /** A connection that delivers no frame for this time is replaced. */
-    static final long SILENCE_MILLIS = 3_000;
+    /** A connection on which no frame is received for this time is closed; the router that opened it opens another. */
+    static final long RECEIVE_TIMEOUT_MILLIS = 3_000;
 
-    /** Heartbeats to every router of a large fleet would exceed the traffic budget, so unused connections are closed. */
-    static final long UNUSED_MILLIS = 60_000;
+    /**
+     * Connections without a request for this time are closed, because heartbeats to every router of a large fleet would
+     * exceed the traffic budget.
+     */
+    static final long IDLE_TIMEOUT_MILLIS = 60_000;
 
-    private static final long HEARTBEAT_MILLIS = 1_000;
+    private static final long HEARTBEAT_PERIOD_MILLIS = 1_000;
     private static final int CONNECT_TIMEOUT_MILLIS = 1_000;
-    private static final int EVENT_LOOPS = 2;
-    private static final long STOP_MILLIS = 2_000;
+    private static final int EVENT_LOOP_THREADS = 2;
+    private static final long SHUTDOWN_TIMEOUT_MILLIS = 2_000;
 
     private final NodeContext context;
     private final Supplier<MembershipView> membership;
@@ -66,9 +69,9 @@
     }
 
     /**
-     * Creates a transport before its membership.
+     * Creates a transport whose membership is created later.
      *
-     * @param membership read at the first request; membership itself needs the port of this transport
+     * @param membership not called before the first request; the membership itself needs the port of this transport
      */
     public NettyPeerTransport(NodeContext context, Supplier<MembershipView> membership) {
         this.context = context;
@@ -79,7 +82,7 @@
                         .setIncarnation(context.incarnation()))
                 .build();
         this.eventLoops = new NioEventLoopGroup(
-                EVENT_LOOPS,
+                EVENT_LOOP_THREADS,
                 new DefaultThreadFactory("peer-" + context.settings().vmName(), true));
         this.bootstrap = new Bootstrap()
                 .group(eventLoops)
@@ -88,18 +91,18 @@
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MILLIS);
     }
 
-    /** Listens on the peer address of the settings and begins to send heartbeats. */
+    /** Listens on the peer address of the settings and starts to send heartbeats. */
     public void start() {
         serverChannel = new ServerBootstrap()
                 .group(eventLoops)
                 .channel(NioServerSocketChannel.class)
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .childOption(ChannelOption.TCP_NODELAY, true)
-                .childHandler(new PeerPipeline(MAX_FRAME_BYTES, this::accept))
+                .childHandler(new PeerPipeline(MAX_FRAME_BYTES, this::createInboundConnection))
                 .bind(context.settings().peerAddress())
                 .syncUninterruptibly()
                 .channel();
-        heartbeat = context.timers().every("peer-heartbeat", HEARTBEAT_MILLIS, this::tick);
+        heartbeat = context.timers().every("peer-heartbeat", HEARTBEAT_PERIOD_MILLIS, this::checkConnections);
     }
 
     /** The TCP port in use after {@link #start}. */
@@ -110,7 +113,7 @@
     @Override
     public CompletableFuture<PeerFrame> request(String vmName, PeerFrame frame, long timeoutMillis) {
         if (closed) {
-            return CompletableFuture.failedFuture(PeerErrors.unreachable(vmName, "this router stops"));
+            return CompletableFuture.failedFuture(PeerErrors.unreachable(vmName, "this router is shutting down"));
         }
         if (vmName.equals(context.settings().vmName())) {
             return requestToSelf(frame, timeoutMillis);
@@ -118,7 +121,7 @@
         Optional<InetSocketAddress> address =
                 membership.get().member(vmName).map(Member::peerAddress).flatMap(NettyPeerTransport::parse);
         if (address.isEmpty()) {
-            return CompletableFuture.failedFuture(PeerErrors.unreachable(vmName, "no address of " + vmName));
+            return CompletableFuture.failedFuture(PeerErrors.unreachable(vmName, "no valid address of " + vmName));
         }
         return peers.computeIfAbsent(vmName, name -> new OutboundPeer(context, name, bootstrap, hello))
                 .request(address.get(), frame, timeoutMillis);
@@ -140,7 +143,9 @@
         }
         peers.values().forEach(OutboundPeer::close);
         inbound.forEach(InboundConnection::close);
-        eventLoops.shutdownGracefully(0, STOP_MILLIS, TimeUnit.MILLISECONDS).awaitUninterruptibly(STOP_MILLIS);
+        eventLoops
+                .shutdownGracefully(0, SHUTDOWN_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)
+                .awaitUninterruptibly(SHUTDOWN_TIMEOUT_MILLIS);
     }
 
     private CompletableFuture<PeerFrame> requestToSelf(PeerFrame frame, long timeoutMillis) {
@@ -156,7 +161,7 @@
                 result.completeExceptionally(PeerErrors.unreachable(self, "no handler for " + frame.getBodyCase()));
                 return;
             }
-            LocalCall.run(handler, self, frame, (response, failure) -> {
+            HandlerInvoker.invoke(handler, self, frame, (response, failure) -> {
                 timer.cancel();
                 if (failure == null) {
                     result.complete(response);
@@ -168,17 +173,17 @@
         return result;
     }
 
-    private PeerPipeline.FrameListener accept(Channel channel) {
+    private PeerPipeline.FrameListener createInboundConnection(Channel channel) {
         InboundConnection[] holder = new InboundConnection[1];
         holder[0] = new InboundConnection(context, channel, hello, handlers::get, () -> inbound.remove(holder[0]));
         inbound.add(holder[0]);
         return holder[0];
     }
 
-    private void tick() {
+    private void checkConnections() {
         long nowMillis = context.timers().monotonicMillis();
-        peers.values().forEach(peer -> peer.tick(nowMillis));
-        inbound.forEach(connection -> connection.closeIfSilent(nowMillis, SILENCE_MILLIS));
+        peers.values().forEach(peer -> peer.checkConnection(nowMillis));
+        inbound.forEach(connection -> connection.closeIfUnresponsive(nowMillis, RECEIVE_TIMEOUT_MILLIS));
     }
 
     private static Optional<InetSocketAddress> parse(String address) {
--- a/agatelane-node/src/main/java/io/agatelane/node/io/peer/OutboundPeer.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/io/peer/OutboundPeer.java
@@ -17,7 +17,7 @@
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
 
-/** Requests of this router to one other router, over one connection at a time. Guarded by its own monitor. */
+/** Sends requests to one other router over one connection at a time. Guarded by its own monitor. */
 final class OutboundPeer {
     private static final EventLog LOG = EventLog.of(OutboundPeer.class);
 
@@ -25,11 +25,11 @@
     private final String vmName;
     private final Bootstrap bootstrap;
     private final PeerFrame hello;
-    private final Map<Long, Pending> pending = new LinkedHashMap<>();
+    private final Map<Long, PendingRequest> pending = new LinkedHashMap<>();
     private InetSocketAddress address;
-    private Link link;
+    private Connection connection;
     private long nextCorrelationId = 1;
-    private long lastUseMillis;
+    private long lastRequestMillis;
 
     OutboundPeer(NodeContext context, String vmName, Bootstrap bootstrap, PeerFrame hello) {
         this.context = context;
@@ -38,36 +38,36 @@
         this.hello = hello;
     }
 
-    /** Sends a request, after connecting when there is no connection to this address. */
+    /** Sends a request; connects first if there is no connection to this address. */
     CompletableFuture<PeerFrame> request(InetSocketAddress target, PeerFrame frame, long timeoutMillis) {
         CompletableFuture<PeerFrame> result = new CompletableFuture<>();
-        Link replaced = null;
+        Connection replaced = null;
         synchronized (this) {
-            lastUseMillis = context.timers().monotonicMillis();
-            if (pending.size() >= NettyPeerTransport.MAX_OUTSTANDING) {
-                result.completeExceptionally(
-                        new AgatelaneException(FailureType.OVERLOADED, "too many requests wait for " + vmName));
+            lastRequestMillis = context.timers().monotonicMillis();
+            if (pending.size() >= NettyPeerTransport.MAX_OUTSTANDING_REQUESTS) {
+                result.completeExceptionally(new AgatelaneException(
+                        FailureType.OVERLOADED, "too many requests are outstanding to " + vmName));
                 return result;
             }
-            if (link != null && !target.equals(address)) {
-                replaced = link;
-                link = null;
+            if (connection != null && !target.equals(address)) {
+                replaced = connection;
+                connection = null;
             }
             long id = nextCorrelationId++;
             PeerFrame request = frame.toBuilder().setCorrelationId(id).build();
             if (request.getSerializedSize() > NettyPeerTransport.MAX_FRAME_BYTES) {
                 result.completeExceptionally(
-                        new AgatelaneException(FailureType.BODY_TOO_LARGE, "the request exceeds the bound of a frame"));
+                        new AgatelaneException(FailureType.BODY_TOO_LARGE, "the request exceeds the frame size limit"));
                 return result;
             }
-            if (link == null) {
+            if (connection == null) {
                 address = target;
-                link = new Link();
-                link.connect();
+                connection = new Connection();
+                connection.connect();
             }
-            Subscription timer = context.timers().after(timeoutMillis, () -> timedOut(id));
-            pending.put(id, new Pending(request, result, timer, link));
-            link.sendIfReady(request);
+            Subscription timer = context.timers().after(timeoutMillis, () -> requestTimedOut(id));
+            pending.put(id, new PendingRequest(request, result, timer, connection));
+            connection.writeIfReady(request);
         }
         if (replaced != null) {
             replaced.drop("the address of the peer changed");
@@ -75,47 +75,47 @@
         return result;
     }
 
-    /** Sends a heartbeat; closes a silent connection and opens another while requests may follow. */
-    void tick(long nowMillis) {
-        Link silent = null;
-        Link unused = null;
+    /** Replaces the connection if it is unresponsive, closes it if it is idle, and otherwise sends a heartbeat. */
+    void checkConnection(long nowMillis) {
+        Connection unresponsive = null;
+        Connection idle = null;
         synchronized (this) {
-            if (link == null) {
+            if (connection == null) {
                 return;
             }
-            if (nowMillis - link.lastFrameMillis >= NettyPeerTransport.SILENCE_MILLIS) {
-                silent = link;
-                link = new Link();
-                link.connect();
-            } else if (pending.isEmpty() && nowMillis - lastUseMillis >= NettyPeerTransport.UNUSED_MILLIS) {
-                unused = link;
-                link = null;
+            if (nowMillis - connection.lastReceivedMillis >= NettyPeerTransport.RECEIVE_TIMEOUT_MILLIS) {
+                unresponsive = connection;
+                connection = new Connection();
+                connection.connect();
+            } else if (pending.isEmpty() && nowMillis - lastRequestMillis >= NettyPeerTransport.IDLE_TIMEOUT_MILLIS) {
+                idle = connection;
+                connection = null;
             } else {
-                link.sendHeartbeat();
+                connection.sendHeartbeat();
             }
         }
-        if (silent != null) {
+        if (unresponsive != null) {
             LOG.event("peer_connection_silent").with("peer", vmName).warning();
-            silent.drop("the connection delivered no frame");
+            unresponsive.drop("no frame was received on the connection");
         }
-        if (unused != null) {
-            unused.drop("the connection was not used");
+        if (idle != null) {
+            idle.drop("the connection was idle");
         }
     }
 
     void close() {
-        Link last;
+        Connection current;
         synchronized (this) {
-            last = link;
-            link = null;
+            current = connection;
+            connection = null;
         }
-        if (last != null) {
-            last.drop("this router stops");
+        if (current != null) {
+            current.drop("this router is shutting down");
         }
     }
 
-    private void timedOut(long id) {
-        Pending request;
+    private void requestTimedOut(long id) {
+        PendingRequest request;
         synchronized (this) {
             request = pending.remove(id);
         }
@@ -124,8 +124,8 @@
         }
     }
 
-    private void respond(PeerFrame frame) {
-        Pending request;
+    private void completeRequest(PeerFrame frame) {
+        PendingRequest request;
         synchronized (this) {
             request = pending.remove(frame.getCorrelationId());
         }
@@ -142,13 +142,14 @@
         });
     }
 
-    private record Pending(PeerFrame frame, CompletableFuture<PeerFrame> result, Subscription timer, Link link) {}
+    private record PendingRequest(
+            PeerFrame frame, CompletableFuture<PeerFrame> result, Subscription timer, Connection connection) {}
 
-    /** One connection; requests are held back until the peer has named itself. */
-    private final class Link implements PeerPipeline.FrameListener {
-        private volatile long lastFrameMillis = context.timers().monotonicMillis();
+    /** One connection. Requests wait until the peer has identified itself in its hello. */
+    private final class Connection implements PeerPipeline.FrameListener {
+        private volatile long lastReceivedMillis = context.timers().monotonicMillis();
         private volatile Channel channel;
-        private boolean ready;
+        private boolean helloReceived;
         private boolean dropped;
 
         private void connect() {
@@ -162,20 +163,20 @@
             channel = connecting.channel();
             connecting.addListener(done -> {
                 if (!done.isSuccess()) {
-                    drop("no connection to " + vmName + ": " + done.cause());
+                    drop("cannot connect to " + vmName + ": " + done.cause());
                 }
             });
         }
 
-        private void sendIfReady(PeerFrame frame) {
-            if (ready) {
-                Channels.send(channel, frame);
+        private void writeIfReady(PeerFrame frame) {
+            if (helloReceived) {
+                Channels.writeAndFlush(channel, frame);
             }
         }
 
         private void sendHeartbeat() {
-            if (ready) {
-                Channels.send(
+            if (helloReceived) {
+                Channels.writeAndFlush(
                         channel,
                         PeerFrame.newBuilder()
                                 .setHeartbeat(PeerHeartbeat.getDefaultInstance())
@@ -184,19 +185,19 @@
         }
 
         @Override
-        public void active() {
-            Channels.send(channel, hello);
+        public void connected() {
+            Channels.writeAndFlush(channel, hello);
         }
 
         @Override
-        public void frame(PeerFrame frame) {
-            lastFrameMillis = context.timers().monotonicMillis();
+        public void frameReceived(PeerFrame frame) {
+            lastReceivedMillis = context.timers().monotonicMillis();
             switch (frame.getBodyCase()) {
-                case HELLO -> greeted(frame.getHello().getVmName());
+                case HELLO -> helloReceived(frame.getHello().getVmName());
                 case HEARTBEAT -> {
-                    // The time of arrival is all that a heartbeat tells.
+                    // A heartbeat carries no data; only its time of arrival counts.
                 }
-                default -> respond(frame);
+                default -> completeRequest(frame);
             }
         }
 
@@ -214,16 +215,16 @@
             drop("the connection to " + vmName + " was closed");
         }
 
-        // An address may have been given to another VM since the membership learned it.
-        private void greeted(String name) {
+        // The address may have been reassigned to another VM since the membership recorded it.
+        private void helloReceived(String name) {
             if (!name.equals(vmName)) {
                 drop("the address of " + vmName + " belongs to " + name);
                 return;
             }
             synchronized (OutboundPeer.this) {
-                ready = true;
-                for (Pending request : pending.values()) {
-                    if (request.link == this) {
+                helloReceived = true;
+                for (PendingRequest request : pending.values()) {
+                    if (request.connection == this) {
                         Channels.write(channel, request.frame);
                     }
                 }
@@ -231,29 +232,30 @@
             }
         }
 
+        // Closes the connection and fails its outstanding requests.
         private void drop(String reason) {
-            List<Pending> failed = new ArrayList<>();
+            List<PendingRequest> lostRequests = new ArrayList<>();
             synchronized (OutboundPeer.this) {
                 if (dropped) {
                     return;
                 }
                 dropped = true;
-                if (link == this) {
-                    link = null;
+                if (connection == this) {
+                    connection = null;
                 }
                 pending.values().removeIf(request -> {
-                    boolean lost = request.link == this;
+                    boolean lost = request.connection == this;
                     if (lost) {
-                        failed.add(request);
+                        lostRequests.add(request);
                     }
                     return lost;
                 });
             }
-            Channel closed = channel;
-            if (closed != null) {
-                Channels.close(closed);
+            Channel openChannel = channel;
+            if (openChannel != null) {
+                Channels.close(openChannel);
             }
-            for (Pending request : failed) {
+            for (PendingRequest request : lostRequests) {
                 request.timer.cancel();
                 context.control()
                         .execute(() -> request.result.completeExceptionally(PeerErrors.unreachable(vmName, reason)));
--- a/agatelane-node/src/main/java/io/agatelane/node/io/peer/PeerErrors.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/io/peer/PeerErrors.java
@@ -5,7 +5,7 @@
 import io.agatelane.wire.peer.PeerError;
 import io.agatelane.wire.peer.PeerFrame;
 
-/** Failures on the wire between routers. */
+/** Converts failures to and from {@link PeerError}, their form between routers. */
 final class PeerErrors {
     private PeerErrors() {}
 
@@ -22,7 +22,7 @@
         return PeerFrame.newBuilder().setError(error).build();
     }
 
-    // A newer router may send a type that this one does not know yet.
+    // A newer router may send a type that this one does not know; it becomes INTERNAL.
     static AgatelaneException fromError(String vmName, PeerError error) {
         FailureType type = FailureType.INTERNAL;
         for (FailureType known : FailureType.values()) {
--- a/agatelane-node/src/main/java/io/agatelane/node/io/peer/PeerPipeline.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/io/peer/PeerPipeline.java
@@ -9,7 +9,7 @@
 import io.netty.handler.codec.protobuf.ProtobufVarint32LengthFieldPrepender;
 import java.util.function.Function;
 
-/** Sets up the codec and the frame handler of a connection. */
+/** Installs the frame codec and a {@link FrameListener} on a new connection. */
 final class PeerPipeline extends ChannelInitializer<Channel> {
     private final int maxFrameBytes;
     private final Function<Channel, FrameListener> listenerFactory;
@@ -30,9 +30,9 @@
 
     /** Receives the events of one connection on its event loop. */
     interface FrameListener {
-        void active();
+        void connected();
 
-        void frame(PeerFrame frame);
+        void frameReceived(PeerFrame frame);
 
         void failed(Throwable cause);
 
@@ -48,12 +48,12 @@
 
         @Override
         public void channelActive(ChannelHandlerContext context) {
-            listener.active();
+            listener.connected();
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext context, PeerFrame frame) {
-            listener.frame(frame);
+            listener.frameReceived(frame);
         }
 
         @Override
--- a/agatelane-node/src/test/java/io/agatelane/node/io/peer/NettyPeerTransportTest.java
+++ b/agatelane-node/src/test/java/io/agatelane/node/io/peer/NettyPeerTransportTest.java
@@ -34,7 +34,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Peer connections over loopback. */
+/** Tests peer connections over loopback. */
 public class NettyPeerTransportTest {
     private static final long TIMEOUT_MILLIS = 20_000;
 
@@ -56,7 +56,7 @@
         opened.clear();
     }
 
-    /** Guards against responses that go to another request, also for requests to the router itself. */
+    /** Guards against responses that complete another request, also for requests of a router to itself. */
     @Test
     public void responsesBelongToTheirRequests() throws Exception {
         NettyPeerTransport remote = transport("vm-2", 1);
@@ -77,40 +77,40 @@
     public void failuresKeepTheirType() {
         NettyPeerTransport remote = transport("vm-2", 1);
         remote.onRequest(PeerFrame.BodyCase.ATTEMPT_QUERY, (from, frame) -> {
-            throw new AgatelaneException(FailureType.OVERLOADED, "too much");
+            throw new AgatelaneException(FailureType.OVERLOADED, "too many requests");
         });
         join("vm-2", remote.port());
         assertEquals(failure(local.request("vm-2", query(1), TIMEOUT_MILLIS)), FailureType.OVERLOADED);
         assertEquals(failure(local.request("vm-9", query(1), TIMEOUT_MILLIS)), FailureType.PEER_UNREACHABLE);
     }
 
-    /** Guards against requests that hang on a connection which accepts data and never delivers any. */
+    /** Guards against requests that hang on a connection that accepts data and never delivers any. */
     @Test
-    public void silentConnectionIsReplaced() throws Exception {
+    public void unresponsiveConnectionIsReplaced() throws Exception {
         FakeControl clock = new FakeControl();
         NodeContext base = FakeNode.context("vm-3", 1, clock);
         NodeContext context = new NodeContext(base.settings(), 1, Runnable::run, clock, base.metrics());
-        NettyPeerTransport caller = keep(new NettyPeerTransport(context, membership));
+        NettyPeerTransport caller = closeAfterTest(new NettyPeerTransport(context, membership));
         caller.start();
         try (ServerSocket server = new ServerSocket(0)) {
             join("vm-2", server.getLocalPort());
             CompletableFuture<PeerFrame> lost = caller.request("vm-2", query(1), TIMEOUT_MILLIS);
-            Socket silent = server.accept();
-            hello().writeDelimitedTo(silent.getOutputStream());
+            Socket unresponsive = server.accept();
+            hello().writeDelimitedTo(unresponsive.getOutputStream());
             assertEquals(
-                    awaitQuery(silent.getInputStream()),
+                    awaitQuery(unresponsive.getInputStream()),
                     query(1).toBuilder().setCorrelationId(1).build());
-            clock.advance(NettyPeerTransport.SILENCE_MILLIS + 1_000);
+            clock.advance(NettyPeerTransport.RECEIVE_TIMEOUT_MILLIS + 1_000);
             assertEquals(failure(lost), FailureType.PEER_UNREACHABLE);
             CompletableFuture<PeerFrame> next = caller.request("vm-2", query(7), TIMEOUT_MILLIS);
             Socket replacement = server.accept();
             hello().writeDelimitedTo(replacement.getOutputStream());
-            answer(replacement, awaitQuery(replacement.getInputStream()));
+            respond(replacement, awaitQuery(replacement.getInputStream()));
             assertEquals(await(next).getAttemptAnswer().getAnswer().getStatus(), 7);
         }
     }
 
-    /** Guards against a router that is not the expected one, for example after its address was given away. */
+    /** Guards against requests to another router, for example after the address of the peer was reassigned. */
     @Test
     public void wrongRouterGetsNoRequest() throws Exception {
         NettyPeerTransport other = transport("vm-5", 1);
@@ -119,7 +119,7 @@
         assertEquals(failure(local.request("vm-2", query(1), TIMEOUT_MILLIS)), FailureType.PEER_UNREACHABLE);
     }
 
-    /** Guards against frames that exhaust the memory of a router, and a connection that breaks for a large request. */
+    /** Guards against frames that exhaust the memory of a router, and large requests that break a connection. */
     @Test
     public void oversizedFramesAreRefused() throws Exception {
         NettyPeerTransport remote = transport("vm-2", 1);
@@ -148,7 +148,7 @@
                 4);
     }
 
-    /** Guards against a connection to the old process of a peer that was restarted at another port. */
+    /** Guards against requests to the old process of a peer that was restarted on another port. */
     @Test
     public void restartedPeerIsReached() throws Exception {
         NettyPeerTransport first = transport("vm-2", 1);
@@ -168,15 +168,15 @@
     }
 
     private NettyPeerTransport transport(String vmName, long incarnation) {
-        ControlThread control = keep(new ControlThread(vmName));
+        ControlThread control = closeAfterTest(new ControlThread(vmName));
         NodeContext base = FakeNode.context(vmName, incarnation, new FakeControl());
         NodeContext context = new NodeContext(base.settings(), incarnation, control, control, base.metrics());
-        NettyPeerTransport transport = keep(new NettyPeerTransport(context, () -> membership));
+        NettyPeerTransport transport = closeAfterTest(new NettyPeerTransport(context, () -> membership));
         transport.start();
         return transport;
     }
 
-    private <T extends AutoCloseable> T keep(T closeable) {
+    private <T extends AutoCloseable> T closeAfterTest(T closeable) {
         opened.add(0, closeable);
         return closeable;
     }
@@ -191,12 +191,12 @@
     }
 
     private static PeerFrame echoOf(PeerFrame frame) {
-        AttemptAnswer.Builder answer = AttemptAnswer.newBuilder();
-        answer.getAnswerBuilder()
+        AttemptAnswer.Builder response = AttemptAnswer.newBuilder();
+        response.getAnswerBuilder()
                 .setStatus((int) frame.getAttemptQuery().getAttempt().getNumber());
         return PeerFrame.newBuilder()
                 .setCorrelationId(frame.getCorrelationId())
-                .setAttemptAnswer(answer)
+                .setAttemptAnswer(response)
                 .build();
     }
 
@@ -208,11 +208,11 @@
     }
 
     private static PeerFrame large() {
-        ConfigAnswer.Builder answer = ConfigAnswer.newBuilder();
-        answer.addShards(ConfigShard.newBuilder()
+        ConfigAnswer.Builder response = ConfigAnswer.newBuilder();
+        response.addShards(ConfigShard.newBuilder()
                 .addObjects(io.agatelane.wire.operator.ConfigObject.newBuilder()
                         .setName("x".repeat(NettyPeerTransport.MAX_FRAME_BYTES))));
-        return PeerFrame.newBuilder().setConfigAnswer(answer).build();
+        return PeerFrame.newBuilder().setConfigAnswer(response).build();
     }
 
     private static PeerFrame hello() {
@@ -229,7 +229,7 @@
         return frame;
     }
 
-    private static void answer(Socket socket, PeerFrame frame) throws Exception {
+    private static void respond(Socket socket, PeerFrame frame) throws Exception {
         echoOf(frame).writeDelimitedTo(socket.getOutputStream());
     }
 
