--- a/agatelane-node/src/main/java/io/agatelane/node/io/http/Authenticator.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/io/http/Authenticator.java
@@ -35,16 +35,16 @@
         String digest = sha256Hex(header.substring(SCHEME.length()).trim());
         return config.current()
                 .accountByApiKeySha256(digest)
-                .orElseThrow(() -> new AgatelaneException(FailureType.UNAUTHENTICATED, "the API key is not known"));
+                .orElseThrow(() -> new AgatelaneException(FailureType.UNAUTHENTICATED, "the API key is unknown"));
     }
 
-    /** Lower-case hexadecimal SHA-256 digest of an API key. */
+    /** Returns the lower-case hexadecimal SHA-256 digest of an API key, as the configuration stores it. */
     public static String sha256Hex(String apiKey) {
         try {
             MessageDigest digest = MessageDigest.getInstance("SHA-256");
             return HexFormat.of().formatHex(digest.digest(apiKey.getBytes(StandardCharsets.UTF_8)));
         } catch (NoSuchAlgorithmException e) {
-            throw new AgatelaneException(FailureType.INTERNAL, "SHA-256 is missing in this JVM", e);
+            throw new AgatelaneException(FailureType.INTERNAL, "this JVM does not provide SHA-256", e);
         }
     }
 }
--- a/agatelane-node/src/main/java/io/agatelane/node/io/http/BodyReader.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/io/http/BodyReader.java
@@ -12,8 +12,8 @@
 
 /** Reads a caller's body without blocking, up to a limit. */
 public final class BodyReader extends ContentSourceCompletableFuture<byte[]> {
-    // A connection that is closed with unread bytes is reset, and the reset can overtake the refusal. So the rest of a
-    // body that is too large is read and thrown away, up to this many bytes.
+    // Closing a connection with unread bytes resets it, and the reset can reach the caller before the error response.
+    // Therefore the rest of a body that is too large is read and discarded, up to this many bytes.
     private static final long MAX_DISCARDED_BYTES = 16L << 20;
 
     private final int maxBytes;
@@ -26,9 +26,10 @@
     }
 
     /**
-     * Starts to read.
+     * Starts to read the body of a request.
      *
-     * @return fails with {@code BODY_TOO_LARGE}, and with {@code MALFORMED_REQUEST} when the body ends early
+     * @return future of the body; it fails with {@code BODY_TOO_LARGE}, and with {@code MALFORMED_REQUEST} when the
+     *     body ends early
      */
     public static CompletableFuture<byte[]> read(Request request, int maxBytes) {
         if (request.getLength() > maxBytes + MAX_DISCARDED_BYTES) {
@@ -36,7 +37,7 @@
         }
         BodyReader reader = new BodyReader(request, maxBytes);
         reader.parse();
-        return reader.exceptionallyCompose(failure -> CompletableFuture.failedFuture(typed(failure)));
+        return reader.exceptionallyCompose(failure -> CompletableFuture.failedFuture(toRequestFailure(failure)));
     }
 
     @Override
@@ -59,7 +60,7 @@
         return null;
     }
 
-    private static AgatelaneException typed(Throwable failure) {
+    private static AgatelaneException toRequestFailure(Throwable failure) {
         AgatelaneException known = AgatelaneException.from(failure);
         if (known.type() != FailureType.INTERNAL) {
             return known;
--- a/agatelane-node/src/main/java/io/agatelane/node/io/http/HealthHandler.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/io/http/HealthHandler.java
@@ -10,7 +10,7 @@
 import org.eclipse.jetty.server.Response;
 import org.eclipse.jetty.util.Callback;
 
-/** Answers {@code /health/live} and {@code /health/ready}. */
+/** Serves {@code /health/live} and {@code /health/ready}. */
 public final class HealthHandler extends Handler.Abstract.NonBlocking {
     private final BooleanSupplier ready;
 
--- a/agatelane-node/src/main/java/io/agatelane/node/io/http/HttpFrontend.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/io/http/HttpFrontend.java
@@ -16,19 +16,19 @@
 import org.eclipse.jetty.util.Callback;
 import org.eclipse.jetty.util.thread.QueuedThreadPool;
 
-/** The HTTP server that callers connect to. Every failure is answered with a problem document. */
+/** The HTTP server that callers connect to. Every failure is reported as a problem document. */
 public final class HttpFrontend implements AutoCloseable {
     private static final String REQUEST_ID = "X-Request-Id";
-    // Streams may wait this long for a first token or a slow reader before the connection counts as abandoned.
+    // A stream may wait this long for its first token or a slow reader before the connection counts as abandoned.
     private static final long IDLE_TIMEOUT_MILLIS = 120_000;
 
     private final Server server;
     private final ServerConnector connector;
 
     /**
-     * Creates a server that asks the handlers in order.
+     * Creates a server that offers each request to the handlers in order.
      *
-     * @param handlers handlers that return false for paths that are not theirs
+     * @param handlers handlers that return false for paths that they do not serve
      */
     public HttpFrontend(InetSocketAddress address, List<Handler> handlers) {
         QueuedThreadPool threads = new QueuedThreadPool();
@@ -64,7 +64,7 @@
         }
     }
 
-    /** The port in use; differs from the configured one when that was 0. */
+    /** Returns the bound port; it differs from the configured one when that was 0. */
     public int port() {
         return connector.getLocalPort();
     }
@@ -102,7 +102,7 @@
         @Override
         public boolean handle(Request request, Response response, Callback callback) {
             AgatelaneException failure = new AgatelaneException(
-                    FailureType.NOT_FOUND, "there is nothing at " + Request.getPathInContext(request));
+                    FailureType.NOT_FOUND, "no resource exists at " + Request.getPathInContext(request));
             ProblemDocuments.write(response, callback, failure, requestId(request));
             return true;
         }
--- a/agatelane-node/src/main/java/io/agatelane/node/io/http/MetricsHandler.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/io/http/MetricsHandler.java
@@ -10,7 +10,7 @@
 import org.eclipse.jetty.server.Response;
 import org.eclipse.jetty.util.Callback;
 
-/** Answers {@code /metrics} in the text format of Prometheus. */
+/** Serves {@code /metrics} in the Prometheus text format. */
 public final class MetricsHandler extends Handler.Abstract.NonBlocking {
     private final MetricRegistry registry;
 
--- a/agatelane-node/src/main/java/io/agatelane/node/io/http/ProblemDocuments.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/io/http/ProblemDocuments.java
@@ -34,7 +34,7 @@
         return node.toString();
     }
 
-    /** Sends the document as the whole answer. */
+    /** Sends the document as the complete response. */
     public static void write(Response response, Callback callback, AgatelaneException failure, String requestId) {
         response.setStatus(failure.type().httpStatus());
         response.getHeaders().put(HttpHeader.CONTENT_TYPE, CONTENT_TYPE);
@@ -49,7 +49,7 @@
         response.write(true, ByteBuffer.wrap(body), callback);
     }
 
-    // Retry-After counts whole seconds; rounding up keeps a caller from coming back too early.
+    // Retry-After counts whole seconds; rounding up keeps a caller from retrying too early.
     private static long retryAfterSeconds(long millis) {
         return Math.max(1, (millis + MILLIS_PER_SECOND - 1) / MILLIS_PER_SECOND);
     }
