--- a/agatelane-node/src/main/java/io/agatelane/node/io/platform/CallBudget.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/io/platform/CallBudget.java
@@ -1,19 +1,19 @@
 package io.agatelane.node.io.platform;
 
-/** Token bucket of platform calls with a burst of one second. */
+/** Token bucket that limits the rate of platform calls and admits a burst of one second. */
 final class CallBudget {
     private static final long MICROS_PER_SECOND = 1_000_000;
     private static final long MICROS_PER_MILLI = 1_000;
 
     private final long intervalMicros;
-    // Time at which the bucket would be full again; one interval later for each call.
+    // Time at which the bucket will be full again; each call moves it one interval later.
     private long fullAtMicros = Long.MIN_VALUE;
 
     CallBudget(int callsPerSecond) {
         this.intervalMicros = Math.max(1, MICROS_PER_SECOND / callsPerSecond);
     }
 
-    /** Takes a token. Returns the time to wait before the call, or -1 and takes none when the wait is too long. */
+    /** Takes a token and returns the time to wait before the call, or takes none and returns -1 if that is too long. */
     synchronized long reserveMillis(long nowMillis, long maxWaitMillis) {
         long nowMicros = nowMillis * MICROS_PER_MILLI;
         long fullAt = Math.max(fullAtMicros, nowMicros);
--- a/agatelane-node/src/main/java/io/agatelane/node/io/platform/GatewayJson.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/io/platform/GatewayJson.java
@@ -11,7 +11,7 @@
 import java.util.Base64;
 import java.util.List;
 
-/** Bodies of the JSON gateway: keys and values in base64, 64-bit numbers as strings, zero values left out. */
+/** Builds and parses bodies of the JSON gateway: keys and values in base64, 64-bit numbers as strings, zeros left out. */
 final class GatewayJson {
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
@@ -45,7 +45,7 @@
         return range(prefix).put("range_end", encode(prefixEnd(prefix)));
     }
 
-    /** A single-key compare on the revision followed by one put or delete. */
+    /** A transaction that does one put or delete if the key has the expected revision. */
     static ObjectNode transaction(String key, long expectedRevision, String operation, ObjectNode request) {
         ObjectNode node = object();
         node.putArray("compare")
@@ -78,12 +78,12 @@
         return new KeyValue(key, decoder.decode(kv.path("value").asText("")), number(kv.path("mod_revision")));
     }
 
-    /** A 64-bit number, given as a string or a number; 0 when it is left out. */
+    /** Reads a 64-bit number that is given as a string or a number; 0 when it is missing. */
     static long number(JsonNode node) {
         return node.isTextual() ? Long.parseLong(node.asText()) : node.asLong(0);
     }
 
-    // The first key after all keys with the prefix.
+    // Returns the first key after all keys with the prefix.
     private static byte[] prefixEnd(String prefix) {
         byte[] end = prefix.getBytes(StandardCharsets.UTF_8);
         for (int i = end.length - 1; i >= 0; i--) {
--- a/agatelane-node/src/main/java/io/agatelane/node/io/platform/PlatformClient.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/io/platform/PlatformClient.java
@@ -34,15 +34,15 @@
 /** Client of the platform's key-value service: the JSON gateway of etcd v3 over HTTP. */
 public final class PlatformClient implements KeyValueStore, AutoCloseable {
     private static final EventLog LOG = EventLog.of(PlatformClient.class);
-    // Bounds the memory of a listing. 13,000 client accounts are 2 MB of shards; replaced versions come on top.
+    // Limits the memory of a listing. 13,000 client accounts take 2 MB of shards; replaced versions add to that.
     private static final int MAX_RESPONSE_BYTES = 24 << 20;
     private static final int MAX_CONNECTIONS = 32;
     private static final int MAX_THREADS = 8;
     private static final long MILLIS_PER_SECOND = 1_000;
     private static final int HTTP_OK = 200;
     private static final int MAX_DETAIL_LENGTH = 120;
-    // Statuses of the gateway for calls that were cancelled on the way and may still take effect.
-    private static final Set<Integer> CANCELLED = Set.of(408, 499);
+    // Statuses that the gateway returns for calls that were cancelled in flight and may still take effect.
+    private static final Set<Integer> CANCELLED_STATUSES = Set.of(408, 499);
 
     private final NodeContext context;
     private final CallBudget budget;
@@ -70,7 +70,7 @@
         this.http = new HttpClient();
     }
 
-    /** Starts the HTTP client. No call is sent before. */
+    /** Starts the HTTP client. Calls fail before that with {@code PLATFORM_UNAVAILABLE}. */
     public void start() {
         QueuedThreadPool threads = new QueuedThreadPool(MAX_THREADS, 1);
         threads.setName("platform-" + context.settings().vmName());
@@ -101,13 +101,13 @@
 
     @Override
     public CompletableFuture<Optional<KeyValue>> get(String key) {
-        return call(false, key, "/v3/kv/range", GatewayJson.range(key), response -> found(response).stream()
+        return call(false, key, "/v3/kv/range", GatewayJson.range(key), response -> readKeyValues(response).stream()
                 .findFirst());
     }
 
     @Override
     public CompletableFuture<List<KeyValue>> list(String prefix) {
-        return call(false, prefix, "/v3/kv/range", GatewayJson.prefixRange(prefix), PlatformClient::found);
+        return call(false, prefix, "/v3/kv/range", GatewayJson.prefixRange(prefix), PlatformClient::readKeyValues);
     }
 
     @Override
@@ -124,7 +124,7 @@
         ObjectNode body = GatewayJson.transaction(key, expectedRevision, "request_put", put);
         return call(true, key, "/v3/kv/txn", body, response -> {
             requireSwapped(response, key, expectedRevision);
-            return revision(response);
+            return requireRevision(response);
         });
     }
 
@@ -140,13 +140,13 @@
 
     @Override
     public CompletableFuture<Long> grantLease(long ttlMillis) {
-        // The service counts whole seconds; rounding up keeps the lease at least as long as asked for.
+        // The service counts whole seconds; rounding up keeps the lease at least as long as requested.
         long seconds = Math.max(1, (ttlMillis + MILLIS_PER_SECOND - 1) / MILLIS_PER_SECOND);
         ObjectNode body = GatewayJson.object().put("TTL", Long.toString(seconds));
         return call(true, "lease", "/v3/lease/grant", body, response -> {
             long id = GatewayJson.number(response.path("ID"));
             if (id == 0) {
-                throw new IllegalArgumentException("the reply has no lease identity");
+                throw new IllegalArgumentException("the response has no lease ID");
             }
             return id;
         });
@@ -182,7 +182,7 @@
         return reachable;
     }
 
-    /** Waits for a token and returns the time to wait, or -1 when the budget is used up. */
+    /** Reserves a call and returns the time to wait before it, or -1 when the call budget is exhausted. */
     long reserveCall() {
         long waitMillis = budget.reserveMillis(context.timers().monotonicMillis(), timeoutMillis);
         if (waitMillis < 0) {
@@ -199,11 +199,11 @@
                     .method(HttpMethod.POST)
                     .body(new BytesRequestContent("application/json", GatewayJson.bytes(body)));
         } catch (IOException e) {
-            throw new AgatelaneException(FailureType.INTERNAL, "the request cannot be written as JSON", e);
+            throw new AgatelaneException(FailureType.INTERNAL, "the request cannot be serialized as JSON", e);
         }
     }
 
-    // Jetty's messages can hold the whole state of a connection.
+    // Truncates the text, because Jetty's messages can contain the whole state of a connection.
     static String describe(Throwable failure) {
         String text = String.valueOf(failure);
         return text.length() <= MAX_DETAIL_LENGTH ? text : text.substring(0, MAX_DETAIL_LENGTH) + "...";
@@ -219,7 +219,7 @@
             return failed(
                     FailureType.PLATFORM_UNAVAILABLE,
                     key,
-                    "the budget of platform calls of this router is used up",
+                    "the platform call budget of this router is exhausted",
                     null);
         }
         CompletableFuture<T> result = new CompletableFuture<>();
@@ -247,7 +247,7 @@
                     public void onComplete(Result outcome) {
                         time.stop();
                         try {
-                            result.complete(decodeReply(write, key, begun.get(), outcome, getContent(), decode));
+                            result.complete(decodeResponse(write, key, begun.get(), outcome, getContent(), decode));
                         } catch (AgatelaneException e) {
                             result.completeExceptionally(e);
                         }
@@ -255,18 +255,18 @@
                 });
     }
 
-    private <T> T decodeReply(
+    private <T> T decodeResponse(
             boolean write, String key, boolean begun, Result outcome, byte[] content, Function<JsonNode, T> decode) {
         if (outcome.isFailed()) {
-            // Jetty reports the begin of a request when it has a connection; without one nothing was sent.
+            // Jetty reports that a request has begun once it has a connection; before that, nothing was sent.
             FailureType type = write && begun ? FailureType.WRITE_OUTCOME_UNKNOWN : FailureType.PLATFORM_UNAVAILABLE;
-            throw noReply(type, key, "no reply: " + describe(outcome.getFailure()), outcome.getFailure());
+            throw recordFailure(type, key, "no response: " + describe(outcome.getFailure()), outcome.getFailure());
         }
         int status = outcome.getResponse().getStatus();
         if (status != HTTP_OK) {
-            boolean refused = status / 100 == 4 && !CANCELLED.contains(status);
+            boolean refused = status / 100 == 4 && !CANCELLED_STATUSES.contains(status);
             FailureType type = write && !refused ? FailureType.WRITE_OUTCOME_UNKNOWN : FailureType.PLATFORM_UNAVAILABLE;
-            throw noReply(type, key, "status " + status, null);
+            throw recordFailure(type, key, "status " + status, null);
         }
         try {
             T value = decode.apply(GatewayJson.parse(content));
@@ -277,11 +277,11 @@
             throw e;
         } catch (IOException | RuntimeException e) {
             FailureType type = write ? FailureType.WRITE_OUTCOME_UNKNOWN : FailureType.PLATFORM_UNAVAILABLE;
-            throw noReply(type, key, "a reply that cannot be read: " + describe(e), e);
+            throw recordFailure(type, key, "the response cannot be read: " + describe(e), e);
         }
     }
 
-    private AgatelaneException noReply(FailureType type, String key, String detail, Throwable cause) {
+    private AgatelaneException recordFailure(FailureType type, String key, String detail, Throwable cause) {
         reachable = false;
         failures.inc();
         LOG.event("platform_call_failed")
@@ -289,16 +289,16 @@
                 .with("type", type.code())
                 .with("detail", detail)
                 .warning();
-        return new AgatelaneException(type, "the platform gave " + detail, cause).withLocation(key);
+        return new AgatelaneException(type, "the platform call failed: " + detail, cause).withLocation(key);
     }
 
     private static <T> CompletableFuture<T> failed(FailureType type, String key, String detail, Throwable cause) {
         return CompletableFuture.failedFuture(new AgatelaneException(type, detail, cause).withLocation(key));
     }
 
-    // A reply without keys says that there are none, so it must certainly come from the gateway.
-    private static List<KeyValue> found(JsonNode response) {
-        revision(response);
+    // An empty list means that no key exists, so requiring the header ensures that the response comes from the gateway.
+    private static List<KeyValue> readKeyValues(JsonNode response) {
+        requireRevision(response);
         return GatewayJson.keyValues(response);
     }
 
@@ -308,18 +308,18 @@
 
     private static void requireSwapped(JsonNode response, String key, long expectedRevision) {
         if (!response.path("succeeded").asBoolean(false)) {
-            // A transaction reply always has a header; without one the reply is not from the gateway.
-            revision(response);
+            // A transaction response always has a header; without one it does not come from the gateway.
+            requireRevision(response);
             throw new AgatelaneException(
                             FailureType.SWAP_LOST, "the revision of " + key + " is not " + expectedRevision)
                     .withLocation(key);
         }
     }
 
-    private static long revision(JsonNode response) {
+    private static long requireRevision(JsonNode response) {
         long revision = GatewayJson.number(response.path("header").path("revision"));
         if (revision <= 0) {
-            throw new IllegalArgumentException("the reply has no header with a revision");
+            throw new IllegalArgumentException("the response has no header with a revision");
         }
         return revision;
     }
--- a/agatelane-node/src/main/java/io/agatelane/node/io/platform/PlatformWatch.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/io/platform/PlatformWatch.java
@@ -16,27 +16,27 @@
 import org.eclipse.jetty.client.Result;
 
 /**
- * A watch of one key on a streamed reply.
+ * Watches one key through a streamed response of the gateway.
  *
- * <p>The key is read again after each connect, so that a write between two connections is reported. It is also read
- * periodically, because a connection can stop delivering data without an error; a write that only the read found
- * replaces the connection.
+ * <p>The key is also read after each connect, so that a write between two connections is reported, and periodically,
+ * because a connection can stop delivering data without an error. When a periodic read finds a write that the watch has
+ * not reported, the connection is replaced.
  */
 final class PlatformWatch {
     private static final EventLog LOG = EventLog.of(PlatformWatch.class);
-    private static final long CHECK_PERIOD_MILLIS = 3_000;
-    private static final long FIRST_RECONNECT_MILLIS = 100;
-    private static final long MAX_RECONNECT_MILLIS = 2_000;
+    private static final long READ_PERIOD_MILLIS = 3_000;
+    private static final long FIRST_RECONNECT_DELAY_MILLIS = 100;
+    private static final long MAX_RECONNECT_DELAY_MILLIS = 2_000;
     private static final int MAX_LINE_BYTES = 4 << 20;
 
     private final PlatformClient client;
     private final NodeContext context;
     private final String key;
     private final Consumer<KeyValue> listener;
-    private Subscription check = () -> {};
+    private Subscription periodicRead = () -> {};
     private Connection connection;
-    private long reconnectMillis = FIRST_RECONNECT_MILLIS;
-    private long lastRevision;
+    private long reconnectDelayMillis = FIRST_RECONNECT_DELAY_MILLIS;
+    private long lastReportedRevision;
     private boolean cancelled;
 
     PlatformWatch(PlatformClient client, NodeContext context, String key, Consumer<KeyValue> listener) {
@@ -47,13 +47,13 @@
     }
 
     synchronized void start() {
-        check = context.timers().every("platform_watch_check", CHECK_PERIOD_MILLIS, () -> readAgain(connection()));
+        periodicRead = context.timers().every("platform_watch_check", READ_PERIOD_MILLIS, () -> readKey(connection()));
         connect();
     }
 
     synchronized void cancel() {
         cancelled = true;
-        check.cancel();
+        periodicRead.cancel();
         if (connection != null) {
             var unused = connection.request.abort(new IOException("the watch was cancelled"));
             connection = null;
@@ -66,7 +66,7 @@
         }
         long waitMillis = client.reserveCall();
         if (waitMillis < 0) {
-            context.timers().after(MAX_RECONNECT_MILLIS, this::connect);
+            context.timers().after(MAX_RECONNECT_DELAY_MILLIS, this::connect);
         } else if (waitMillis > 0) {
             context.timers().after(waitMillis, this::open);
         } else {
@@ -80,14 +80,14 @@
         }
         Connection opened = new Connection(client.newRequest("/v3/watch", GatewayJson.watch(key)));
         connection = opened;
-        // Without a write the reply is silent for as long as it lasts; the periodic read replaces the idle timeout.
+        // The response carries no data while nothing is written; the periodic read replaces the idle timeout.
         opened.request
                 .idleTimeout(0, TimeUnit.MILLISECONDS)
                 .onResponseContent(opened)
-                .send(result -> context.control().execute(() -> ended(opened, result)));
+                .send(result -> context.control().execute(() -> connectionEnded(opened, result)));
     }
 
-    private synchronized void ended(Connection ended, Result result) {
+    private synchronized void connectionEnded(Connection ended, Result result) {
         if (connection != ended) {
             return;
         }
@@ -98,32 +98,32 @@
         LOG.event("platform_watch_ended")
                 .with("key", key)
                 .with("cause", PlatformClient.describe(result.getFailure()))
-                .with("reconnect_millis", reconnectMillis)
+                .with("reconnect_millis", reconnectDelayMillis)
                 .warning();
-        context.timers().after(reconnectMillis, this::connect);
-        reconnectMillis = Math.min(MAX_RECONNECT_MILLIS, reconnectMillis * 2);
+        context.timers().after(reconnectDelayMillis, this::connect);
+        reconnectDelayMillis = Math.min(MAX_RECONNECT_DELAY_MILLIS, reconnectDelayMillis * 2);
     }
 
     private synchronized Connection connection() {
         return connection;
     }
 
-    // The connection is replaced when it did not report what the read found; null keeps the connection.
-    private void readAgain(Connection suspect) {
+    // Replaces the given connection if it has not reported the write that the read finds; null only reports the write.
+    private void readKey(Connection checked) {
         Futures.whenDone(client.get(key), context.control(), (value, failure) -> {
             if (failure == null && value.isPresent()) {
-                foundByRead(value.get(), suspect);
+                reportIfMissed(value.get(), checked);
             }
         });
     }
 
-    private void foundByRead(KeyValue value, Connection suspect) {
+    private void reportIfMissed(KeyValue value, Connection checked) {
         synchronized (this) {
-            if (cancelled || value.revision() == lastRevision) {
+            if (cancelled || value.revision() == lastReportedRevision) {
                 return;
             }
-            if (suspect != null && suspect == connection) {
-                var unused = suspect.request.abort(new IOException("the watch missed revision " + value.revision()));
+            if (checked != null && checked == connection) {
+                var unused = checked.request.abort(new IOException("the watch missed revision " + value.revision()));
             }
         }
         report(value);
@@ -134,17 +134,17 @@
             if (cancelled) {
                 return;
             }
-            lastRevision = value.revision();
+            lastReportedRevision = value.revision();
         }
         listener.accept(value);
     }
 
-    private synchronized void created() {
-        reconnectMillis = FIRST_RECONNECT_MILLIS;
-        readAgain(null);
+    private synchronized void watchCreated() {
+        reconnectDelayMillis = FIRST_RECONNECT_DELAY_MILLIS;
+        readKey(null);
     }
 
-    /** One streamed reply; splits it into lines. */
+    /** One streamed response, which is split into lines with one JSON message each. */
     private final class Connection implements Response.ContentListener {
         private final Request request;
         private final ByteArrayOutputStream line = new ByteArrayOutputStream();
@@ -158,24 +158,24 @@
             while (content.hasRemaining()) {
                 byte next = content.get();
                 if (next == '\n') {
-                    message(GatewayJson.parse(line.toByteArray()));
+                    handleMessage(GatewayJson.parse(line.toByteArray()));
                     line.reset();
                 } else {
                     line.write(next);
                 }
                 if (line.size() > MAX_LINE_BYTES) {
-                    throw new IOException("a line of the watch is longer than " + MAX_LINE_BYTES + " bytes");
+                    throw new IOException("a line of the watch response is longer than " + MAX_LINE_BYTES + " bytes");
                 }
             }
         }
 
-        private void message(JsonNode message) throws IOException {
+        private void handleMessage(JsonNode message) throws IOException {
             JsonNode result = message.path("result");
             if (message.has("error") || result.path("canceled").asBoolean(false)) {
                 throw new IOException("the platform ended the watch: " + message);
             }
             if (result.path("created").asBoolean(false)) {
-                context.control().execute(PlatformWatch.this::created);
+                context.control().execute(PlatformWatch.this::watchCreated);
             }
             for (JsonNode event : result.path("events")) {
                 if (!event.path("type").asText("PUT").equals("DELETE")) {
--- a/agatelane-node/src/test/java/io/agatelane/node/io/platform/ConfigOverHttpTest.java
+++ b/agatelane-node/src/test/java/io/agatelane/node/io/platform/ConfigOverHttpTest.java
@@ -30,7 +30,10 @@
     private static final int ROUTERS = 3;
     private static final int CHANGES = 20;
 
-    /** Guards against races between the threads of the HTTP client and the control threads, and lost changes (I9). */
+    /**
+     * Guards against races between the threads of the HTTP client and the control threads, and against lost changes
+     * (invariant I9 in docs/design.md).
+     */
     @Test
     public void routersRaceOverHttp() throws Exception {
         List<AutoCloseable> opened = new ArrayList<>();
@@ -103,7 +106,7 @@
 
         @Override
         public void onRequest(PeerFrame.BodyCase kind, Handler handler) {
-            // No peer asks.
+            // No peer sends requests.
         }
     }
 }
--- a/agatelane-node/src/test/java/io/agatelane/node/io/platform/FakePlatformServer.java
+++ b/agatelane-node/src/test/java/io/agatelane/node/io/platform/FakePlatformServer.java
@@ -17,7 +17,7 @@
 import org.eclipse.jetty.server.ServerConnector;
 import org.eclipse.jetty.util.Callback;
 
-/** The JSON gateway over HTTP, with the faults that a client must survive. */
+/** A fake of the platform's JSON gateway over HTTP that injects faults. */
 final class FakePlatformServer extends Handler.Abstract implements AutoCloseable {
     enum Fault {
         NONE,
@@ -41,7 +41,7 @@
     private final ServerConnector connector = new ServerConnector(server);
     private long revision = 1;
     private volatile Fault fault = Fault.NONE;
-    private volatile boolean silentWatches;
+    private volatile boolean stalledWatches;
 
     FakePlatformServer() throws Exception {
         connector.setHost("127.0.0.1");
@@ -58,17 +58,17 @@
         fault = newFault;
     }
 
-    /** Open watches stay open and deliver nothing. */
-    void setSilentWatches(boolean silent) {
-        silentWatches = silent;
+    /** Lets watches stay open without delivering data. */
+    void setStalledWatches(boolean stalled) {
+        stalledWatches = stalled;
     }
 
-    /** Ends all watches; {@code between} runs while none is open. */
-    synchronized void cutWatches(Runnable between) {
-        List<Watcher> cut = List.copyOf(watchers);
+    /** Aborts all watches; {@code between} runs while none is open. */
+    synchronized void abortWatches(Runnable between) {
+        List<Watcher> aborted = List.copyOf(watchers);
         watchers.clear();
         between.run();
-        cut.forEach(watcher -> watcher.callback.failed(new IllegalStateException("cut by the test")));
+        aborted.forEach(watcher -> watcher.callback.failed(new IllegalStateException("aborted by the test")));
     }
 
     @Override
@@ -176,7 +176,7 @@
     }
 
     private void send(Watcher watcher, ObjectNode message) {
-        if (!silentWatches) {
+        if (!stalledWatches) {
             byte[] line = (message + "\n").getBytes(StandardCharsets.UTF_8);
             watcher.response.write(false, ByteBuffer.wrap(line), Callback.NOOP);
         }
--- a/agatelane-node/src/test/java/io/agatelane/node/io/platform/PlatformClientTest.java
+++ b/agatelane-node/src/test/java/io/agatelane/node/io/platform/PlatformClientTest.java
@@ -69,7 +69,7 @@
         assertTrue(client.reachable());
     }
 
-    /** Guards against a lease that ends earlier than asked for, because the service counts whole seconds. */
+    /** Guards against a lease that ends earlier than requested, because the service counts whole seconds. */
     @Test
     public void roundsLeaseTimesUp() throws Exception {
         long lease = await(client.grantLease(1_200));
@@ -89,7 +89,10 @@
         };
     }
 
-    /** Guards against a write that is reported as not done although it may have taken effect (I5). */
+    /**
+     * Guards against a write that is reported as not done although it may have taken effect
+     * (invariant I5 in docs/design.md).
+     */
     @Test(dataProvider = "faults")
     public void reportsUnknownOutcomes(FakePlatformServer.Fault fault, FailureType ofWrite) throws Exception {
         await(client.get("k"));
@@ -104,7 +107,7 @@
         assertTrue(client.reachable());
     }
 
-    /** Guards against an unknown outcome where nothing can have been sent. */
+    /** Guards against an unknown outcome being reported when nothing can have been sent. */
     @Test
     public void reportsRefusedConnectionsAsNotSent() throws Exception {
         platform.close();
@@ -121,7 +124,7 @@
         platform.put("other", "0");
         platform.put("k", "1");
         assertEquals(seen.poll(WAIT_SECONDS, TimeUnit.SECONDS), "1");
-        platform.cutWatches(() -> platform.put("k", "2"));
+        platform.abortWatches(() -> platform.put("k", "2"));
         // The reconnect waits on the fake clock; the end of the connection arrives on another thread.
         String next = null;
         for (int i = 0; next == null || next.equals("1"); i++) {
@@ -135,18 +138,18 @@
 
     /** Guards against a connection that stops delivering data without an error. */
     @Test
-    public void watchFindsWritesOfSilentConnections() throws Exception {
+    public void watchDetectsWritesOnStalledConnections() throws Exception {
         BlockingQueue<String> seen = new LinkedBlockingQueue<>();
-        platform.setSilentWatches(true);
+        platform.setStalledWatches(true);
         client.watch("k", value -> seen.add(text(value)));
         platform.put("k", "1");
         clock.advance(3_000);
         assertEquals(seen.poll(WAIT_SECONDS, TimeUnit.SECONDS), "1");
     }
 
-    /** Guards against a router that spends more calls than its share of the platform's rate. */
+    /** Guards against a router that makes more calls than its share of the platform's rate. */
     @Test
-    public void budgetBoundsTheRate() {
+    public void budgetLimitsTheRate() {
         CallBudget budget = new CallBudget(10);
         long waited = 0;
         for (int i = 0; i < 10; i++) {
