--- a/agatelane-node/src/main/java/io/agatelane/node/io/platform/GatewayJson.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/io/platform/GatewayJson.java
@@ -11,7 +11,7 @@
 import java.util.Base64;
 import java.util.List;
 
-/** Builds and parses bodies of the JSON gateway: keys and values in base64, 64-bit numbers as strings, zeros left out. */
+/** Builds and parses JSON gateway bodies: keys and values in base64, 64-bit numbers as strings, zeros left out. */
 final class GatewayJson {
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
