--- a/agatelane-node/src/main/java/io/agatelane/node/io/operator/OperatorServer.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/io/operator/OperatorServer.java
@@ -22,7 +22,7 @@
 import org.eclipse.jetty.server.ServerConnector;
 import org.eclipse.jetty.util.thread.QueuedThreadPool;
 
-/** The port for operators: gRPC over h2c, and plain HTTP handlers such as metrics and health. */
+/** Server on the port for operators: gRPC over h2c, and plain HTTP handlers such as metrics and health. */
 public final class OperatorServer implements AutoCloseable {
     private static final EventLog LOG = EventLog.of(OperatorServer.class);
     private static final int MAX_THREADS = 16;
@@ -35,7 +35,7 @@
     /**
      * Creates the server.
      *
-     * @param httpHandlers asked in order before the gRPC service; each answers only the paths that it knows
+     * @param httpHandlers tried in order before the gRPC service; each handles only its own paths
      */
     public OperatorServer(
             NodeContext context,
@@ -57,7 +57,7 @@
         connector.setPort(address.getPort());
         server.addConnector(connector);
 
-        OperatorCalls calls = new OperatorCalls(config, membership, inspector, store);
+        OperatorServiceImpl calls = new OperatorServiceImpl(config, membership, inspector, store);
         ServletHolder servlet = new ServletHolder(new GrpcServlet(List.of(calls)));
         servlet.setAsyncSupported(true);
         ServletContextHandler grpc = new ServletContextHandler("/");
@@ -70,7 +70,7 @@
     }
 
     /**
-     * Starts to listen.
+     * Starts listening on the RPC address of the settings.
      *
      * @throws AgatelaneException with {@code INVALID_SETTINGS} when the address cannot be used
      */
@@ -85,7 +85,7 @@
         LOG.event("operator_server_started").with("port", port()).info();
     }
 
-    /** The port that the server listens on. */
+    /** Returns the port that the server listens on, also when the system chose it. */
     public int port() {
         return connector.getLocalPort();
     }
--- a/agatelane-node/src/main/java/io/agatelane/node/io/operator/OperatorCalls.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/io/operator/OperatorServiceImpl.java
@@ -29,16 +29,17 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.function.Supplier;
 
-/** The operator service of the schema. */
-final class OperatorCalls extends OperatorServiceGrpc.OperatorServiceImplBase {
-    private static final EventLog LOG = EventLog.of(OperatorCalls.class);
+/** Implements the gRPC operator service by calls to the configuration, the membership and the routing inspector. */
+final class OperatorServiceImpl extends OperatorServiceGrpc.OperatorServiceImplBase {
+    private static final EventLog LOG = EventLog.of(OperatorServiceImpl.class);
 
     private final ConfigService config;
     private final MembershipView membership;
     private final RoutingInspector inspector;
     private final KeyValueStore store;
 
-    OperatorCalls(ConfigService config, MembershipView membership, RoutingInspector inspector, KeyValueStore store) {
+    OperatorServiceImpl(
+            ConfigService config, MembershipView membership, RoutingInspector inspector, KeyValueStore store) {
         this.config = config;
         this.membership = membership;
         this.inspector = inspector;
@@ -47,37 +48,37 @@
 
     @Override
     public void get(GetRequest request, StreamObserver<GetResponse> observer) {
-        answerNow("Get", () -> config.get(request), observer);
+        respondNow("Get", () -> config.get(request), observer);
     }
 
     @Override
     public void list(ListRequest request, StreamObserver<ListResponse> observer) {
-        answerNow("List", () -> config.list(request), observer);
+        respondNow("List", () -> config.list(request), observer);
     }
 
     @Override
     public void apply(ApplyRequest request, StreamObserver<ApplyResponse> observer) {
-        answer("Apply", config.apply(request), observer);
+        respond("Apply", config.apply(request), observer);
     }
 
     @Override
     public void delete(DeleteRequest request, StreamObserver<DeleteResponse> observer) {
-        answer("Delete", config.delete(request), observer);
+        respond("Delete", config.delete(request), observer);
     }
 
     @Override
     public void setDraining(SetDrainingRequest request, StreamObserver<SetDrainingResponse> observer) {
-        answer("SetDraining", config.setDraining(request), observer);
+        respond("SetDraining", config.setDraining(request), observer);
     }
 
     @Override
     public void status(StatusRequest request, StreamObserver<StatusResponse> observer) {
-        answerNow("Status", this::status, observer);
+        respondNow("Status", this::status, observer);
     }
 
     @Override
     public void explain(ExplainRequest request, StreamObserver<ExplainResponse> observer) {
-        answerNow("Explain", () -> inspector.explain(request), observer);
+        respondNow("Explain", () -> inspector.explain(request), observer);
     }
 
     private StatusResponse status() {
@@ -101,17 +102,17 @@
                 .build();
     }
 
-    private static <T> void answerNow(String call, Supplier<T> supplier, StreamObserver<T> observer) {
+    private static <T> void respondNow(String call, Supplier<T> supplier, StreamObserver<T> observer) {
         CompletableFuture<T> result = new CompletableFuture<>();
         try {
             result.complete(supplier.get());
         } catch (RuntimeException e) {
             result.completeExceptionally(e);
         }
-        answer(call, result, observer);
+        respond(call, result, observer);
     }
 
-    private static <T> void answer(String call, CompletableFuture<T> result, StreamObserver<T> observer) {
+    private static <T> void respond(String call, CompletableFuture<T> result, StreamObserver<T> observer) {
         Futures.whenDone(result, Runnable::run, (response, failure) -> {
             if (failure == null) {
                 observer.onNext(response);
--- a/agatelane-node/src/main/java/io/agatelane/node/io/operator/RpcStatus.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/io/operator/RpcStatus.java
@@ -12,7 +12,7 @@
 import io.grpc.StatusRuntimeException;
 import io.grpc.protobuf.StatusProto;
 
-/** Turns failures into gRPC statuses. The details name the failure type and the location. */
+/** Converts failures to gRPC statuses, whose details carry the failure type and the location. */
 final class RpcStatus {
     private static final String DOMAIN = "agatelane";
 
@@ -20,7 +20,7 @@
 
     static StatusRuntimeException of(AgatelaneException failure) {
         Status.Builder status = Status.newBuilder()
-                .setCode(code(failure.type()).value())
+                .setCode(toCode(failure.type()).value())
                 .setMessage(String.valueOf(failure.getMessage()))
                 .addDetails(Any.pack(ErrorInfo.newBuilder()
                         .setDomain(DOMAIN)
@@ -29,12 +29,12 @@
                         .putMetadata("executed", failure.executed().wireName())
                         .build()));
         if (failure instanceof ConflictException conflict) {
-            status.addDetails(Any.pack(detail(conflict)));
+            status.addDetails(Any.pack(toConflictDetail(conflict)));
         }
         return StatusProto.toStatusRuntimeException(status.build());
     }
 
-    private static ConflictDetail detail(ConflictException conflict) {
+    private static ConflictDetail toConflictDetail(ConflictException conflict) {
         return ConflictDetail.newBuilder()
                 .setKind(Kind.valueOf(conflict.key().kind().name()))
                 .setName(conflict.key().name())
@@ -43,7 +43,7 @@
                 .build();
     }
 
-    private static Code code(FailureType type) {
+    private static Code toCode(FailureType type) {
         return switch (type) {
             case INVALID_OBJECT, MALFORMED_REQUEST -> Code.INVALID_ARGUMENT;
             case NOT_FOUND, MODEL_NOT_FOUND -> Code.NOT_FOUND;
--- a/agatelane-node/src/main/java/io/agatelane/node/io/operator/package-info.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/io/operator/package-info.java
@@ -1,2 +1,2 @@
-/** Operator calls: gRPC on Jetty. */
+/** Serves the calls of operators by gRPC on Jetty. */
 package io.agatelane.node.io.operator;
