--- a/agatelane-node/src/main/java/io/agatelane/node/io/orders/EngineOrderClient.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/io/orders/EngineOrderClient.java
@@ -6,13 +6,13 @@
 import io.agatelane.core.orders.SendOutcome;
 import java.util.concurrent.CompletableFuture;
 
-/** Orders on the engine's side. */
-interface EngineOrders extends AutoCloseable {
-    /** Reads the state of an engine; fails with {@code UPSTREAM_FAILED} or {@code UPSTREAM_TIMEOUT}. */
-    CompletableFuture<EngineState> read(Upstream engine);
+/** Client of the order endpoint of engines. */
+interface EngineOrderClient extends AutoCloseable {
+    /** Reads the current state of an engine; fails with {@code UPSTREAM_FAILED} or {@code UPSTREAM_TIMEOUT}. */
+    CompletableFuture<EngineState> readState(Upstream engine);
 
-    /** Sends an order; completes normally whatever the outcome. */
-    CompletableFuture<SendOutcome> send(Upstream engine, long fencingNumber, DesiredState desired);
+    /** Sends an order. The future completes normally in every case; the outcome says whether the order took effect. */
+    CompletableFuture<SendOutcome> sendOrder(Upstream engine, long fencingNumber, DesiredState desired);
 
     @Override
     void close();
--- a/agatelane-node/src/main/java/io/agatelane/node/io/orders/HolderLease.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/io/orders/HolderLease.java
@@ -13,8 +13,8 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * The lease of this router with one key per engine that ignores fencing numbers. All methods run on the control thread;
- * futures complete on any thread.
+ * The lease of this router for orders to engines that do not check fencing numbers, with one key per engine. All
+ * methods run on the control thread; futures complete on any thread.
  */
 final class HolderLease {
     private static final String PREFIX = "orders/holders/";
@@ -22,9 +22,9 @@
     private final NodeContext context;
     private final KeyValueStore store;
     private final OrderTiming timing;
-    private final Map<String, Held> held = new HashMap<>();
+    private final Map<String, HeldKey> heldKeys = new HashMap<>();
     private long leaseId;
-    private long untilMillis = Long.MIN_VALUE;
+    private long expiresMillis = Long.MIN_VALUE;
 
     HolderLease(NodeContext context, KeyValueStore store, OrderTiming timing) {
         this.context = context;
@@ -32,71 +32,71 @@
         this.timing = timing;
     }
 
-    /** A held key: when it was taken and until when the lease lasts. */
-    record Term(long sinceMillis, long untilMillis) {}
+    /** Time for which this router holds the key of an engine: from when it took the key until the lease expires. */
+    record Term(long heldSinceMillis, long expiresMillis) {}
 
-    private record Held(long leaseId, long revision, long sinceMillis) {}
+    private record HeldKey(long leaseId, long revision, long heldSinceMillis) {}
 
-    /** Takes or renews the lease for an engine; empty when another router holds it. */
+    /** Takes the key of an engine, or renews the lease of a held key; empty when another router holds the key. */
     CompletableFuture<Optional<Term>> take(String upstream) {
-        return extend().thenComposeAsync(unused -> takeKey(upstream), context.control());
+        return ensureLease().thenComposeAsync(unused -> takeKey(upstream), context.control());
     }
 
-    /** Gives up the lease for an engine; best effort, as it ends by itself. */
+    /** Deletes the key of an engine, and ends the lease with its last key; best effort, as the lease expires anyway. */
     void release(String upstream) {
-        Held key = held.remove(upstream);
+        HeldKey key = heldKeys.remove(upstream);
         if (key != null) {
             var unused = store.compareAndDelete(PREFIX + upstream, key.revision);
         }
-        if (held.isEmpty() && leaseId != 0) {
+        if (heldKeys.isEmpty() && leaseId != 0) {
             var unused = store.revokeLease(leaseId);
             leaseId = 0;
         }
     }
 
-    private CompletableFuture<Void> extend() {
+    private CompletableFuture<Void> ensureLease() {
         long startMillis = now();
-        if (leaseId != 0 && startMillis >= untilMillis) {
-            lost();
+        if (leaseId != 0 && startMillis >= expiresMillis) {
+            dropLease();
         }
         if (leaseId == 0) {
             return store.grantLease(timing.leaseMillis())
-                    .thenAcceptAsync(id -> granted(id, startMillis), context.control());
+                    .thenAcceptAsync(id -> leaseGranted(id, startMillis), context.control());
         }
-        if (untilMillis - startMillis > timing.takeoverMillis() / 2) {
-            // Renewed a moment ago for another engine.
+        if (expiresMillis - startMillis > timing.takeoverMillis() / 2) {
+            // Still valid for long enough, since it was renewed for another engine recently.
             return CompletableFuture.completedFuture(null);
         }
-        long renewed = leaseId;
-        return store.renewLease(renewed)
-                .thenAcceptAsync(remaining -> renewed(renewed, remaining, startMillis), context.control());
+        long renewedLeaseId = leaseId;
+        return store.renewLease(renewedLeaseId)
+                .thenAcceptAsync(remaining -> leaseRenewed(renewedLeaseId, remaining, startMillis), context.control());
     }
 
-    private void granted(long id, long startMillis) {
+    private void leaseGranted(long id, long startMillis) {
         if (leaseId != 0) {
-            // Two engines asked at the same time; the second lease has no keys and ends by itself.
+            // A lease was requested for two engines at the same time; the second one has no keys and expires.
             return;
         }
         leaseId = id;
-        // Counted from before the call: the platform cannot have ended the lease earlier than this.
-        untilMillis = startMillis + timing.leaseMillis();
+        // Counted from the start of the call, so the platform cannot end the lease before this time.
+        expiresMillis = startMillis + timing.leaseMillis();
     }
 
-    private void renewed(long id, long remainingMillis, long startMillis) {
+    private void leaseRenewed(long id, long remainingMillis, long startMillis) {
         if (id != leaseId) {
             return;
         }
         if (remainingMillis <= 0) {
-            lost();
-            throw new AgatelaneException(FailureType.SWAP_LOST, "the lease for orders has ended");
+            dropLease();
+            throw new AgatelaneException(FailureType.SWAP_LOST, "the lease for orders has expired");
         }
-        untilMillis = Math.max(untilMillis, startMillis + Math.min(remainingMillis, timing.leaseMillis()));
+        expiresMillis = Math.max(expiresMillis, startMillis + Math.min(remainingMillis, timing.leaseMillis()));
     }
 
     private CompletableFuture<Optional<Term>> takeKey(String upstream) {
-        Held key = held.get(upstream);
+        HeldKey key = heldKeys.get(upstream);
         if (key != null) {
-            return CompletableFuture.completedFuture(Optional.of(new Term(key.sinceMillis, untilMillis)));
+            return CompletableFuture.completedFuture(Optional.of(new Term(key.heldSinceMillis, expiresMillis)));
         }
         long id = leaseId;
         byte[] value = OrderCodec.encodeHolder(upstream, context.settings().vmName(), context.incarnation(), id);
@@ -104,10 +104,10 @@
                 .thenApply(Optional::of)
                 .exceptionallyCompose(failure -> findOwnKey(upstream, id, AgatelaneException.from(failure)));
         return taken.thenApplyAsync(
-                revision -> revision.flatMap(number -> keyTaken(upstream, id, number)), context.control());
+                revision -> revision.flatMap(number -> recordTakenKey(upstream, id, number)), context.control());
     }
 
-    /** After a lost reply the key may be this router's own. */
+    /** Finds the key that an earlier write of this router created although its response was lost. */
     private CompletableFuture<Optional<Long>> findOwnKey(String upstream, long id, AgatelaneException failure) {
         if (failure.type() != FailureType.SWAP_LOST && failure.type() != FailureType.WRITE_OUTCOME_UNKNOWN) {
             return CompletableFuture.failedFuture(failure);
@@ -123,17 +123,17 @@
                 && holder.getFencingNumber() == id;
     }
 
-    private Optional<Term> keyTaken(String upstream, long id, long revision) {
+    private Optional<Term> recordTakenKey(String upstream, long id, long revision) {
         if (id != leaseId) {
             return Optional.empty();
         }
-        Held key = held.computeIfAbsent(upstream, unused -> new Held(id, revision, now()));
-        return Optional.of(new Term(key.sinceMillis, untilMillis));
+        HeldKey key = heldKeys.computeIfAbsent(upstream, unused -> new HeldKey(id, revision, now()));
+        return Optional.of(new Term(key.heldSinceMillis, expiresMillis));
     }
 
-    private void lost() {
+    private void dropLease() {
         leaseId = 0;
-        held.clear();
+        heldKeys.clear();
     }
 
     private long now() {
--- a/agatelane-node/src/main/java/io/agatelane/node/io/orders/HttpEngineOrderClient.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/io/orders/HttpEngineOrderClient.java
@@ -24,20 +24,20 @@
 import org.eclipse.jetty.http.HttpMethod;
 import org.eclipse.jetty.util.thread.QueuedThreadPool;
 
-/** {@code GET /orders} and {@code POST /orders} of engines. */
-final class HttpEngineOrders implements EngineOrders {
+/** Reads the state of engines by {@code GET /orders} and sends orders by {@code POST /orders}. */
+final class HttpEngineOrderClient implements EngineOrderClient {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final int MAX_RESPONSE_BYTES = 64 * 1024;
     private static final long READ_TIMEOUT_MILLIS = 2_000;
-    /** Orders are rare; the selector and a few tasks are all that runs at once. */
-    private static final int THREADS = 8;
+    /** Orders are rare, so only the selector and a few tasks run at once. */
+    private static final int MAX_THREADS = 8;
 
     private final HttpClient client = new HttpClient();
     private final long orderTimeoutMillis;
 
-    HttpEngineOrders(long orderTimeoutMillis) {
+    HttpEngineOrderClient(long orderTimeoutMillis) {
         this.orderTimeoutMillis = orderTimeoutMillis;
-        QueuedThreadPool threads = new QueuedThreadPool(THREADS, 1);
+        QueuedThreadPool threads = new QueuedThreadPool(MAX_THREADS, 1);
         threads.setName("orders");
         threads.setDaemon(true);
         client.setExecutor(threads);
@@ -45,25 +45,25 @@
         try {
             client.start();
         } catch (Exception e) {
-            throw new AgatelaneException(FailureType.INTERNAL, "the HTTP client for orders does not start", e);
+            throw new AgatelaneException(FailureType.INTERNAL, "the HTTP client for orders did not start", e);
         }
     }
 
     @Override
-    public CompletableFuture<EngineState> read(Upstream engine) {
+    public CompletableFuture<EngineState> readState(Upstream engine) {
         Request request = request(engine, HttpMethod.GET, READ_TIMEOUT_MILLIS);
         return new CompletableResponseListener(request, MAX_RESPONSE_BYTES)
                 .send()
                 .handle((response, failure) -> {
                     if (failure != null) {
-                        throw typed(engine, failure);
+                        throw toException(engine, failure);
                     }
-                    return parse(engine, response);
+                    return parseState(engine, response);
                 });
     }
 
     @Override
-    public CompletableFuture<SendOutcome> send(Upstream engine, long fencingNumber, DesiredState desired) {
+    public CompletableFuture<SendOutcome> sendOrder(Upstream engine, long fencingNumber, DesiredState desired) {
         ObjectNode body = JSON.createObjectNode()
                 .put("fencing_number", fencingNumber)
                 .put("model", desired.model())
@@ -78,7 +78,7 @@
                 .body(new StringRequestContent("application/json", body.toString()));
         return new CompletableResponseListener(request, MAX_RESPONSE_BYTES)
                 .send()
-                .handle((response, failure) -> failure == null ? outcome(response.getStatus()) : outcome(failure));
+                .handle((response, failure) -> failure == null ? toOutcome(response.getStatus()) : toOutcome(failure));
     }
 
     @Override
@@ -86,7 +86,7 @@
         try {
             client.stop();
         } catch (Exception e) {
-            throw new AgatelaneException(FailureType.INTERNAL, "the HTTP client for orders does not stop", e);
+            throw new AgatelaneException(FailureType.INTERNAL, "the HTTP client for orders did not stop", e);
         }
     }
 
@@ -96,7 +96,7 @@
                 .timeout(timeoutMillis, TimeUnit.MILLISECONDS);
     }
 
-    private static SendOutcome outcome(int status) {
+    private static SendOutcome toOutcome(int status) {
         if (status == 200) {
             return SendOutcome.IN_FORCE;
         }
@@ -106,12 +106,12 @@
         return status >= 400 && status < 500 ? SendOutcome.REFUSED : SendOutcome.UNKNOWN;
     }
 
-    private static SendOutcome outcome(Throwable failure) {
+    private static SendOutcome toOutcome(Throwable failure) {
         Throwable cause = failure instanceof CompletionException ? failure.getCause() : failure;
         return cause instanceof ConnectException ? SendOutcome.REFUSED : SendOutcome.UNKNOWN;
     }
 
-    private static EngineState parse(Upstream engine, ContentResponse response) {
+    private static EngineState parseState(Upstream engine, ContentResponse response) {
         if (response.getStatus() != 200) {
             throw new AgatelaneException(FailureType.UPSTREAM_FAILED, "GET /orders responded " + response.getStatus())
                     .withLocation(engine.name());
@@ -130,7 +130,7 @@
         }
     }
 
-    private static AgatelaneException typed(Upstream engine, Throwable failure) {
+    private static AgatelaneException toException(Upstream engine, Throwable failure) {
         Throwable cause = failure instanceof CompletionException ? failure.getCause() : failure;
         FailureType type =
                 cause instanceof TimeoutException ? FailureType.UPSTREAM_TIMEOUT : FailureType.UPSTREAM_FAILED;
--- a/agatelane-node/src/main/java/io/agatelane/node/io/orders/OrderCodec.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/io/orders/OrderCodec.java
@@ -8,7 +8,7 @@
 import io.agatelane.wire.store.EngineOrder;
 import java.util.Optional;
 
-/** Values of the keys under {@code orders/}. */
+/** Encodes and decodes the values of the store keys under {@code orders/}. */
 final class OrderCodec {
     private static final EventLog LOG = EventLog.of(OrderCodec.class);
 
@@ -30,7 +30,7 @@
                 .toByteArray();
     }
 
-    /** Value of a key that only names its holder; the number tells apart several keys of the same holder. */
+    /** Encodes the value of a key that only names its holder; the number distinguishes keys of the same holder. */
     static byte[] encodeHolder(String upstream, String vmName, long incarnation, long number) {
         return EngineOrder.newBuilder()
                 .setUpstream(upstream)
@@ -41,7 +41,7 @@
                 .toByteArray();
     }
 
-    /** Reads the record of an order; empty when malformed, so that it is written anew. */
+    /** Decodes the record of an order; empty when malformed, so that it is overwritten. */
     static Optional<OrderRecord> decode(KeyValue value) {
         return parse(value)
                 .map(order -> new OrderRecord(
@@ -55,7 +55,7 @@
                         order.getDone()));
     }
 
-    /** Parses a value; a malformed one is logged. */
+    /** Parses a value; logs a malformed one and returns empty. */
     static Optional<EngineOrder> parse(KeyValue value) {
         try {
             return Optional.of(EngineOrder.parseFrom(value.value()));
--- a/agatelane-node/src/main/java/io/agatelane/node/io/orders/OrderController.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/io/orders/OrderController.java
@@ -30,16 +30,16 @@
 import java.util.function.Supplier;
 
 /**
- * Brings the engines whose orders this router sends into the state that the configuration wants. All state belongs to
- * the control thread.
+ * Brings the engines that this router sends orders to into the state that the configuration requires. All state is
+ * confined to the control thread.
  */
 public final class OrderController implements AutoCloseable {
     private static final EventLog LOG = EventLog.of(OrderController.class);
     private static final String KEY_PREFIX = "orders/";
     private static final long TICK_MILLIS = 500;
-    /** Calls of one router to the platform at once, so that a roll-out over the fleet does not flood it. */
+    /** Concurrent platform calls of one router; more would let a fleet-wide roll-out overload the platform. */
     private static final int MAX_PLATFORM_CALLS = 2;
-    /** Time between two looks at the slots by one router while they are taken. */
+    /** Delay before this router tries again to take a slot or an engine key that other routers hold. */
     private static final long SLOT_RETRY_MILLIS = 2_000;
 
     private final NodeContext context;
@@ -47,17 +47,17 @@
     private final MembershipView membership;
     private final KeyValueStore store;
     private final OrderTiming timing;
-    private final EngineOrders engines;
+    private final EngineOrderClient engines;
     private final HolderLease lease;
     private final SlotKeys slots;
     private final Map<String, Task> tasks = new TreeMap<>();
     private final List<Subscription> subscriptions = new ArrayList<>();
-    private boolean planStale = true;
-    private Task slotCaller;
-    private List<String> plannedLive = List.of();
-    private long plannedRevision = -1;
-    private long nextSlotMillis;
-    private int platformCalls;
+    private boolean assignmentStale = true;
+    private Task slotRequester;
+    private List<String> assignedLiveRouters = List.of();
+    private long assignedRevision = -1;
+    private long nextSlotAttemptMillis;
+    private int runningPlatformCalls;
     private boolean closed;
 
     public OrderController(NodeContext context, ConfigView config, MembershipView membership, KeyValueStore store) {
@@ -67,7 +67,7 @@
                 membership,
                 store,
                 OrderTiming.DEFAULT,
-                new HttpEngineOrders(OrderTiming.DEFAULT.longestOrderMillis()));
+                new HttpEngineOrderClient(OrderTiming.DEFAULT.longestOrderMillis()));
     }
 
     OrderController(
@@ -76,7 +76,7 @@
             MembershipView membership,
             KeyValueStore store,
             OrderTiming timing,
-            EngineOrders engines) {
+            EngineOrderClient engines) {
         this.context = context;
         this.config = config;
         this.membership = membership;
@@ -87,24 +87,25 @@
         this.slots = new SlotKeys(context, store, timing);
     }
 
-    /** Begins to compare engines with the configuration. */
+    /** Starts comparing engines with the configuration periodically. */
     public void start() {
         context.control().execute(() -> {
-            subscriptions.add(config.onChange(snapshot -> planStale = true));
-            subscriptions.add(membership.onChange(members -> planStale = true));
+            subscriptions.add(config.onChange(snapshot -> assignmentStale = true));
+            subscriptions.add(membership.onChange(members -> assignmentStale = true));
             subscriptions.add(context.timers().every("orders", TICK_MILLIS, this::tick));
         });
     }
 
-    /** Stops sending; slots and leases are given back. */
+    /** Stops sending orders and releases slots and leases. */
     @Override
     public void close() {
         context.control().execute(() -> {
             closed = true;
             subscriptions.forEach(Subscription::cancel);
             tasks.values().forEach(task -> {
-                // A load that is still running keeps its slot until others take it for abandoned.
-                if (!task.sending) {
+                // The engine may still be loading weights after an order in flight, so the slot stays taken until other
+                // routers treat it as abandoned.
+                if (!task.orderInFlight) {
                     slots.release(task.upstream.name());
                 }
                 lease.release(task.upstream.name());
@@ -115,25 +116,27 @@
     }
 
     private void tick() {
-        if (planStale) {
-            planStale = false;
-            plan();
+        if (assignmentStale) {
+            assignmentStale = false;
+            updateAssignment();
         }
         long now = now();
         List.copyOf(tasks.values()).forEach(this::step);
-        tasks.values().removeIf(task -> !task.busy && task.machine.desired().isEmpty() && task.machine.isIdle(now));
+        tasks.values()
+                .removeIf(task -> !task.callRunning && task.machine.desired().isEmpty() && task.machine.isIdle(now));
     }
 
-    private void plan() {
+    private void updateAssignment() {
         ConfigSnapshot snapshot = config.current();
-        List<String> live = membership.liveMembers().stream().map(Member::name).toList();
-        if (live.equals(plannedLive) && snapshot.revision() == plannedRevision) {
-            // Most changes of the membership concern revisions, which do not move orders.
+        List<String> liveRouters =
+                membership.liveMembers().stream().map(Member::name).toList();
+        if (liveRouters.equals(assignedLiveRouters) && snapshot.revision() == assignedRevision) {
+            // Most membership changes concern configuration revisions of members, which do not affect the assignment.
             return;
         }
-        plannedLive = live;
-        plannedRevision = snapshot.revision();
-        Map<String, DesiredState> orders = OrderPlan.ordersOf(context.settings().vmName(), live, snapshot);
+        assignedLiveRouters = liveRouters;
+        assignedRevision = snapshot.revision();
+        Map<String, DesiredState> orders = OrderPlan.ordersOf(context.settings().vmName(), liveRouters, snapshot);
         for (Map.Entry<String, DesiredState> order : orders.entrySet()) {
             Upstream upstream = snapshot.upstream(order.getKey()).orElseThrow();
             Task task = tasks.computeIfAbsent(order.getKey(), name -> new Task(upstream, newMachine(name)));
@@ -152,17 +155,17 @@
     }
 
     private void step(Task task) {
-        if (task.busy || closed) {
+        if (task.callRunning || closed) {
             return;
         }
-        // Results count from the start of a call: this process may be paused before it takes them.
+        // The age of a result counts from the start of its call, since this process may be paused before it handles it.
         long startMillis = now();
         OrderStep step = task.machine.next(startMillis);
         switch (step) {
             case WAIT -> {}
-            case READ_ENGINE -> call(
-                    task, engines.read(task.upstream), state -> task.machine.engineRead(state, startMillis));
-            case TAKE_LEASE -> platformCall(task, () -> lease.take(task.name()), term -> leaseTaken(task, term));
+            case READ_ENGINE -> continueWith(
+                    task, engines.readState(task.upstream), state -> task.machine.engineRead(state, startMillis));
+            case TAKE_LEASE -> startPlatformCall(task, () -> lease.take(task.name()), term -> leaseTaken(task, term));
             case RELEASE_LEASE -> {
                 task.machine.leaseLost();
                 lease.release(task.name());
@@ -171,25 +174,25 @@
             case RELEASE_SLOT -> {
                 task.machine.slotReleased();
                 slots.release(task.name());
-                stepSoon(task);
+                scheduleStep(task);
             }
-            case READ_KEY -> platformCall(
+            case READ_KEY -> startPlatformCall(
                     task, () -> store.get(task.key()), found -> keyRead(task, found, startMillis));
             case WRITE_KEY -> writeKey(task, task.machine.recordToWrite());
-            case SEND -> send(task);
+            case SEND -> sendOrder(task);
             case MARK_DONE -> writeKey(task, task.machine.recordWhenDone());
             default -> throw new IllegalStateException("unhandled step " + step);
         }
     }
 
-    private void stepSoon(Task task) {
+    private void scheduleStep(Task task) {
         context.control().execute(() -> step(task));
     }
 
-    private <T> void call(Task task, CompletableFuture<T> future, Consumer<T> success) {
-        task.busy = true;
+    private <T> void continueWith(Task task, CompletableFuture<T> future, Consumer<T> success) {
+        task.callRunning = true;
         var unused = future.whenComplete((value, failure) -> context.control().execute(() -> {
-            task.busy = false;
+            task.callRunning = false;
             endPlatformCall(task);
             if (closed) {
                 return;
@@ -198,33 +201,33 @@
                 success.accept(value);
                 step(task);
             } else {
-                failed(task, AgatelaneException.from(failure));
+                stepFailed(task, AgatelaneException.from(failure));
             }
         }));
     }
 
-    private <T> void platformCall(Task task, Supplier<CompletableFuture<T>> starter, Consumer<T> success) {
-        if (platformCalls >= MAX_PLATFORM_CALLS) {
+    private <T> void startPlatformCall(Task task, Supplier<CompletableFuture<T>> starter, Consumer<T> success) {
+        if (runningPlatformCalls >= MAX_PLATFORM_CALLS) {
             return;
         }
-        platformCalls++;
-        task.onPlatform = true;
-        call(task, starter.get(), success);
+        runningPlatformCalls++;
+        task.platformCallRunning = true;
+        continueWith(task, starter.get(), success);
     }
 
     private void endPlatformCall(Task task) {
-        if (task.onPlatform) {
-            task.onPlatform = false;
-            platformCalls--;
+        if (task.platformCallRunning) {
+            task.platformCallRunning = false;
+            runningPlatformCalls--;
         }
-        if (slotCaller == task) {
-            slotCaller = null;
+        if (slotRequester == task) {
+            slotRequester = null;
         }
     }
 
-    private void failed(Task task, AgatelaneException failure) {
-        if (task.sending) {
-            task.sending = false;
+    private void stepFailed(Task task, AgatelaneException failure) {
+        if (task.orderInFlight) {
+            task.orderInFlight = false;
             task.machine.sendFinished(SendOutcome.UNKNOWN, now());
         }
         task.machine.keyUncertain();
@@ -239,7 +242,7 @@
 
     private void leaseTaken(Task task, Optional<HolderLease.Term> term) {
         if (term.isPresent()) {
-            task.machine.leaseHeld(term.get().sinceMillis(), term.get().untilMillis());
+            task.machine.leaseHeld(term.get().heldSinceMillis(), term.get().expiresMillis());
         } else {
             task.machine.leaseLost();
             task.machine.waitFor(SLOT_RETRY_MILLIS, now());
@@ -247,16 +250,16 @@
     }
 
     private void takeSlot(Task task) {
-        if (slotCaller != null || now() < nextSlotMillis || platformCalls >= MAX_PLATFORM_CALLS) {
+        if (slotRequester != null || now() < nextSlotAttemptMillis || runningPlatformCalls >= MAX_PLATFORM_CALLS) {
             return;
         }
-        slotCaller = task;
+        slotRequester = task;
         Set<String> sameModel = OrderPlan.enginesOfSameModel(task.upstream, config.current());
-        platformCall(task, () -> slots.take(task.name(), sameModel), since -> {
-            if (since.isPresent()) {
-                task.machine.slotTaken(since.get());
+        startPlatformCall(task, () -> slots.take(task.name(), sameModel), heldSinceMillis -> {
+            if (heldSinceMillis.isPresent()) {
+                task.machine.slotTaken(heldSinceMillis.get());
             } else {
-                nextSlotMillis = now() + SLOT_RETRY_MILLIS;
+                nextSlotAttemptMillis = now() + SLOT_RETRY_MILLIS;
             }
         });
     }
@@ -269,13 +272,13 @@
     private void writeKey(Task task, OrderRecord record) {
         long expected = task.machine.keyRevision();
         long startMillis = now();
-        platformCall(
+        startPlatformCall(
                 task,
                 () -> store.compareAndSet(task.key(), expected, OrderCodec.encode(record)),
                 revision -> task.machine.keyWritten(record, revision, startMillis));
     }
 
-    private void send(Task task) {
+    private void sendOrder(Task task) {
         DesiredState desired = task.machine.desired().orElseThrow();
         long fencingNumber = task.machine.keyRevision();
         LOG.event("order_sent")
@@ -285,13 +288,14 @@
                 .with("weights", desired.weightsVersion())
                 .info();
         counter("sent").run();
-        task.sending = true;
+        task.orderInFlight = true;
         task.machine.sendStarted(now());
-        call(task, engines.send(task.upstream, fencingNumber, desired), outcome -> sent(task, outcome));
+        continueWith(
+                task, engines.sendOrder(task.upstream, fencingNumber, desired), outcome -> orderEnded(task, outcome));
     }
 
-    private void sent(Task task, SendOutcome outcome) {
-        task.sending = false;
+    private void orderEnded(Task task, SendOutcome outcome) {
+        task.orderInFlight = false;
         task.machine.sendFinished(outcome, now());
         if (outcome == SendOutcome.STALE) {
             counter("stale").run();
@@ -316,9 +320,9 @@
     private static final class Task {
         private Upstream upstream;
         private final OrderMachine machine;
-        private boolean busy;
-        private boolean sending;
-        private boolean onPlatform;
+        private boolean callRunning;
+        private boolean orderInFlight;
+        private boolean platformCallRunning;
 
         private Task(Upstream upstream, OrderMachine machine) {
             this.upstream = upstream;
--- a/agatelane-node/src/main/java/io/agatelane/node/io/orders/SlotKeys.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/io/orders/SlotKeys.java
@@ -16,15 +16,18 @@
 import java.util.Set;
 import java.util.concurrent.CompletableFuture;
 
-/** The keys {@code orders/slots/<n>}, each the right to let one engine load weights. Runs on the control thread. */
+/**
+ * Takes and releases the keys {@code orders/slots/<n>}, each of which permits one engine to load weights. Runs on the
+ * control thread.
+ */
 final class SlotKeys {
     private static final String PREFIX = "orders/slots/";
 
     private final NodeContext context;
     private final KeyValueStore store;
     private final LoadSlots slots;
-    private final Map<String, Held> held = new HashMap<>();
-    private final Map<String, Long> attemptMillis = new HashMap<>();
+    private final Map<String, HeldSlot> heldSlots = new HashMap<>();
+    private final Map<String, Long> pendingWriteMillis = new HashMap<>();
 
     SlotKeys(NodeContext context, KeyValueStore store, OrderTiming timing) {
         this.context = context;
@@ -32,62 +35,62 @@
         this.slots = new LoadSlots(timing);
     }
 
-    private record Held(int index, long revision, long sinceMillis) {}
+    private record HeldSlot(int index, long revision, long heldSinceMillis) {}
 
-    /** Takes a slot for an engine. Returns the time at the start of the call, or empty when no slot is free. */
+    /** Takes a slot for an engine. Returns the start time of the write that took it, or empty when no slot is free. */
     CompletableFuture<Optional<Long>> take(String upstream, Set<String> sameModel) {
         return store.list(PREFIX)
-                .thenComposeAsync(values -> takeFrom(parse(values), upstream, sameModel), context.control());
+                .thenComposeAsync(values -> takeFreeSlot(parse(values), upstream, sameModel), context.control());
     }
 
-    /** Gives a slot back; one whose deletion fails is deleted at the next look at the slots. */
+    /** Releases a slot; if the deletion fails, it is repeated when this router next lists the slots. */
     void release(String upstream) {
-        Held slot = held.remove(upstream);
-        attemptMillis.remove(upstream);
+        HeldSlot slot = heldSlots.remove(upstream);
+        pendingWriteMillis.remove(upstream);
         if (slot != null) {
             delete(slot.index, slot.revision);
         }
     }
 
-    private CompletableFuture<Optional<Long>> takeFrom(
-            List<LoadSlots.Slot> taken, String upstream, Set<String> sameModel) {
-        for (LoadSlots.Slot slot : taken) {
+    private CompletableFuture<Optional<Long>> takeFreeSlot(
+            List<LoadSlots.Slot> takenSlots, String upstream, Set<String> sameModel) {
+        for (LoadSlots.Slot slot : takenSlots) {
             boolean own = slot.holderVm().equals(context.settings().vmName())
                     && slot.holderIncarnation() == context.incarnation();
-            if (own && slot.upstream().equals(upstream) && attemptMillis.containsKey(upstream)) {
-                // The reply to the write was lost; the slot counts from before that call.
-                return CompletableFuture.completedFuture(
-                        Optional.of(hold(upstream, slot.index(), slot.revision(), attemptMillis.get(upstream))));
+            if (own && slot.upstream().equals(upstream) && pendingWriteMillis.containsKey(upstream)) {
+                // The response to the write was lost; the slot counts as held since the start of that call.
+                return CompletableFuture.completedFuture(Optional.of(
+                        recordHeld(upstream, slot.index(), slot.revision(), pendingWriteMillis.get(upstream))));
             }
-            if (own && !held.containsKey(slot.upstream()) && !attemptMillis.containsKey(slot.upstream())) {
+            if (own && !heldSlots.containsKey(slot.upstream()) && !pendingWriteMillis.containsKey(slot.upstream())) {
                 delete(slot.index(), slot.revision());
             }
         }
         long startMillis = context.timers().monotonicMillis();
-        Optional<LoadSlots.Choice> choice = slots.choose(taken, sameModel, startMillis);
+        Optional<LoadSlots.Choice> choice = slots.choose(takenSlots, sameModel, startMillis);
         if (choice.isEmpty()) {
             return CompletableFuture.completedFuture(Optional.empty());
         }
-        attemptMillis.put(upstream, startMillis);
+        pendingWriteMillis.put(upstream, startMillis);
         int index = choice.get().index();
         byte[] value = OrderCodec.encodeHolder(upstream, context.settings().vmName(), context.incarnation(), 0);
         return store.compareAndSet(PREFIX + index, choice.get().expectedRevision(), value)
                 .handleAsync(
                         (revision, failure) -> failure == null
-                                ? Optional.of(hold(upstream, index, revision, startMillis))
-                                : notTaken(upstream, AgatelaneException.from(failure)),
+                                ? Optional.of(recordHeld(upstream, index, revision, startMillis))
+                                : handleFailedWrite(upstream, AgatelaneException.from(failure)),
                         context.control());
     }
 
-    private long hold(String upstream, int index, long revision, long sinceMillis) {
-        attemptMillis.remove(upstream);
-        held.put(upstream, new Held(index, revision, sinceMillis));
-        return sinceMillis;
+    private long recordHeld(String upstream, int index, long revision, long heldSinceMillis) {
+        pendingWriteMillis.remove(upstream);
+        heldSlots.put(upstream, new HeldSlot(index, revision, heldSinceMillis));
+        return heldSinceMillis;
     }
 
-    private Optional<Long> notTaken(String upstream, AgatelaneException failure) {
+    private Optional<Long> handleFailedWrite(String upstream, AgatelaneException failure) {
         if (failure.type() == FailureType.SWAP_LOST) {
-            attemptMillis.remove(upstream);
+            pendingWriteMillis.remove(upstream);
             return Optional.empty();
         }
         throw failure;
@@ -98,14 +101,14 @@
     }
 
     private static List<LoadSlots.Slot> parse(List<KeyValue> values) {
-        List<LoadSlots.Slot> taken = new ArrayList<>();
+        List<LoadSlots.Slot> takenSlots = new ArrayList<>();
         for (KeyValue value : values) {
             String suffix = value.key().substring(PREFIX.length());
             for (int index = 0; index < LoadSlots.SLOTS; index++) {
                 if (suffix.equals(Integer.toString(index))) {
-                    // A malformed value still takes the slot, until it counts as abandoned.
+                    // A slot with a malformed value counts as taken until it counts as abandoned.
                     EngineOrder holder = OrderCodec.parse(value).orElse(EngineOrder.getDefaultInstance());
-                    taken.add(new LoadSlots.Slot(
+                    takenSlots.add(new LoadSlots.Slot(
                             index,
                             value.revision(),
                             holder.getUpstream(),
@@ -114,6 +117,6 @@
                 }
             }
         }
-        return taken;
+        return takenSlots;
     }
 }
--- a/agatelane-node/src/main/java/io/agatelane/node/io/orders/package-info.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/io/orders/package-info.java
@@ -1,2 +1,2 @@
-/** Orders to engines: platform keys, HTTP and the controller that drives them. */
+/** Sends orders to engines: their keys in the store, the HTTP client and the controller of their steps. */
 package io.agatelane.node.io.orders;
--- a/agatelane-node/src/test/java/io/agatelane/node/io/orders/FakeEngines.java
+++ b/agatelane-node/src/test/java/io/agatelane/node/io/orders/FakeEngines.java
@@ -16,14 +16,14 @@
 import java.util.TreeMap;
 import java.util.concurrent.CompletableFuture;
 
-/** Engines that load weights in simulated time, with the history of each. */
+/** Engines that load weights in simulated time and record the versions that they loaded. */
 final class FakeEngines {
     private final FakeControl control;
     private final Map<String, Engine> engines = new TreeMap<>();
     private final Set<String> loading = new HashSet<>();
     long loadMillis = 2_000;
-    int mostLoads;
-    int mostLoadsOfPair;
+    int maxConcurrentLoads;
+    int maxConcurrentPairLoads;
 
     FakeEngines(FakeControl control) {
         this.control = control;
@@ -33,35 +33,35 @@
         return engines.computeIfAbsent(name, unused -> new Engine());
     }
 
-    /** The client of one router. */
+    /** Returns the order client of one router. */
     Client client() {
         return new Client();
     }
 
     static final class Engine {
         String weights = "v1";
-        long fencing;
+        long highestFencingNumber;
         int staleOrders;
         boolean down;
         final List<String> history = new ArrayList<>(List.of("v1"));
     }
 
-    final class Client implements EngineOrders {
-        /** Orders wait here, as in a process that is paused between its check and the system call. */
-        boolean holdSends;
+    final class Client implements EngineOrderClient {
+        /** Holds back sent orders, as in a process that is paused between its last check and the system call. */
+        boolean holdOrders;
 
-        private final ArrayDeque<Runnable> heldSends = new ArrayDeque<>();
-        int sent;
+        private final ArrayDeque<Runnable> heldOrders = new ArrayDeque<>();
+        int sentOrders;
 
-        void releaseSends() {
-            holdSends = false;
-            while (!heldSends.isEmpty()) {
-                heldSends.poll().run();
+        void releaseOrders() {
+            holdOrders = false;
+            while (!heldOrders.isEmpty()) {
+                heldOrders.poll().run();
             }
         }
 
         @Override
-        public CompletableFuture<EngineState> read(Upstream upstream) {
+        public CompletableFuture<EngineState> readState(Upstream upstream) {
             Engine engine = engine(upstream.name());
             CompletableFuture<EngineState> result = new CompletableFuture<>();
             control.after(1, () -> {
@@ -75,12 +75,12 @@
         }
 
         @Override
-        public CompletableFuture<SendOutcome> send(Upstream upstream, long fencingNumber, DesiredState desired) {
-            sent++;
+        public CompletableFuture<SendOutcome> sendOrder(Upstream upstream, long fencingNumber, DesiredState desired) {
+            sentOrders++;
             CompletableFuture<SendOutcome> result = new CompletableFuture<>();
             Runnable arrival = () -> arrive(upstream, fencingNumber, desired, result);
-            if (holdSends) {
-                heldSends.add(arrival);
+            if (holdOrders) {
+                heldOrders.add(arrival);
             } else {
                 control.after(1, arrival);
             }
@@ -97,16 +97,16 @@
                 result.complete(SendOutcome.REFUSED);
                 return;
             }
-            if (upstream.checksFencing() && fencingNumber < engine.fencing) {
+            if (upstream.checksFencing() && fencingNumber < engine.highestFencingNumber) {
                 engine.staleOrders++;
                 result.complete(SendOutcome.STALE);
                 return;
             }
-            engine.fencing = fencingNumber;
+            engine.highestFencingNumber = fencingNumber;
             loading.add(upstream.name());
-            mostLoads = Math.max(mostLoads, loading.size());
+            maxConcurrentLoads = Math.max(maxConcurrentLoads, loading.size());
             long pair = loading.stream().filter(name -> name.startsWith("pair")).count();
-            mostLoadsOfPair = Math.max(mostLoadsOfPair, (int) pair);
+            maxConcurrentPairLoads = Math.max(maxConcurrentPairLoads, (int) pair);
             control.after(loadMillis, () -> {
                 loading.remove(upstream.name());
                 if (!engine.weights.equals(desired.weightsVersion())) {
--- a/agatelane-node/src/test/java/io/agatelane/node/io/orders/HttpEngineOrderClientTest.java
+++ b/agatelane-node/src/test/java/io/agatelane/node/io/orders/HttpEngineOrderClientTest.java
@@ -23,9 +23,9 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-public final class HttpEngineOrdersTest {
+public final class HttpEngineOrderClientTest {
     private Server server;
-    private HttpEngineOrders orders;
+    private HttpEngineOrderClient orders;
     private Upstream engine;
     private volatile int status;
     private volatile String responseBody;
@@ -52,7 +52,7 @@
         server.start();
         engine = new Upstream(
                 "e", "http://127.0.0.1:" + connector.getLocalPort(), "z", List.of("m"), "", 1, true, false);
-        orders = new HttpEngineOrders(5_000);
+        orders = new HttpEngineOrderClient(5_000);
     }
 
     @AfterMethod
@@ -61,40 +61,41 @@
         server.stop();
     }
 
-    // Guards against orders whose JSON differs from section 5.2 and against outcomes taken for others.
+    // Guards against orders whose JSON differs from the interface of engines, and against responses that are mapped
+    // to a wrong outcome.
     @Test
-    public void sendsOrdersAndTellsOutcomesApart() throws Exception {
+    public void sendsOrdersAndMapsStatusToOutcome() throws Exception {
         DesiredState desired = new DesiredState("m", "v2", "", "");
-        assertEquals(orders.send(engine, 1L << 40, desired).get(), SendOutcome.IN_FORCE);
+        assertEquals(orders.sendOrder(engine, 1L << 40, desired).get(), SendOutcome.IN_FORCE);
         assertEquals(
                 requestBody,
                 "POST /orders {\"fencing_number\":1099511627776,\"model\":\"m\",\"weights_version\":\"v2\"}");
         status = 409;
-        assertEquals(orders.send(engine, 7, desired).get(), SendOutcome.STALE);
+        assertEquals(orders.sendOrder(engine, 7, desired).get(), SendOutcome.STALE);
         status = 400;
-        assertEquals(orders.send(engine, 7, desired).get(), SendOutcome.REFUSED);
+        assertEquals(orders.sendOrder(engine, 7, desired).get(), SendOutcome.REFUSED);
         status = 500;
-        assertEquals(orders.send(engine, 7, desired).get(), SendOutcome.UNKNOWN);
+        assertEquals(orders.sendOrder(engine, 7, desired).get(), SendOutcome.UNKNOWN);
         server.stop();
-        assertEquals(orders.send(engine, 7, desired).get(), SendOutcome.REFUSED);
+        assertEquals(orders.sendOrder(engine, 7, desired).get(), SendOutcome.REFUSED);
     }
 
-    // Guards against a malformed or failed state taken for a state, and against untyped failures.
+    // Guards against a malformed or failed response that is read as a state, and against failures without a type.
     @Test
-    public void readsStateAndReportsTypedFailures() throws Exception {
+    public void readsStateAndReportsFailureType() throws Exception {
         responseBody = "{\"fencing_number\":3,\"model\":\"m\",\"weights_version\":\"v1\",\"role\":\"serving\"}";
-        assertEquals(orders.read(engine).get(), new EngineState("m", "v1", "", "serving"));
+        assertEquals(orders.readState(engine).get(), new EngineState("m", "v1", "", "serving"));
         responseBody = "{\"model\":";
-        assertEquals(failure().type(), FailureType.UPSTREAM_FAILED);
+        assertEquals(readFailure().type(), FailureType.UPSTREAM_FAILED);
         status = 503;
-        assertEquals(failure().location(), "e");
+        assertEquals(readFailure().location(), "e");
         server.stop();
-        assertEquals(failure().type(), FailureType.UPSTREAM_FAILED);
+        assertEquals(readFailure().type(), FailureType.UPSTREAM_FAILED);
     }
 
-    private AgatelaneException failure() {
-        assertThrows(ExecutionException.class, () -> orders.read(engine).get());
+    private AgatelaneException readFailure() {
+        assertThrows(ExecutionException.class, () -> orders.readState(engine).get());
         return AgatelaneException.from(
-                orders.read(engine).handle((state, failure) -> failure).join());
+                orders.readState(engine).handle((state, failure) -> failure).join());
     }
 }
--- a/agatelane-node/src/test/java/io/agatelane/node/io/orders/NaiveOrderSender.java
+++ b/agatelane-node/src/test/java/io/agatelane/node/io/orders/NaiveOrderSender.java
@@ -10,14 +10,14 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Naive reference: writes the desired state and sends it, without fencing number, lease and read back. */
+/** Baseline for comparison: writes the desired state and sends it, without fencing number, lease or read-back. */
 final class NaiveOrderSender {
     private final FakeRouterControl control;
     private final KeyValueStore store;
-    private final EngineOrders engines;
-    private final Map<String, String> ordered = new HashMap<>();
+    private final EngineOrderClient engines;
+    private final Map<String, String> orderedVersions = new HashMap<>();
 
-    NaiveOrderSender(FakeRouterControl control, ConfigView config, KeyValueStore store, EngineOrders engines) {
+    NaiveOrderSender(FakeRouterControl control, ConfigView config, KeyValueStore store, EngineOrderClient engines) {
         this.control = control;
         this.store = store;
         this.engines = engines;
@@ -27,7 +27,7 @@
     private void tick(ConfigSnapshot config) {
         for (Upstream upstream : config.upstreams()) {
             OrderPlan.desiredState(upstream, config).ifPresent(desired -> {
-                if (desired.weightsVersion().equals(ordered.put(upstream.name(), desired.weightsVersion()))) {
+                if (desired.weightsVersion().equals(orderedVersions.put(upstream.name(), desired.weightsVersion()))) {
                     return;
                 }
                 String key = "orders/" + upstream.name();
@@ -35,7 +35,7 @@
                         .thenCompose(old -> store.compareAndSet(
                                 key, old.map(KeyValue::revision).orElse(0L), new byte[0]))
                         .thenAccept(revision -> control.execute(() -> {
-                            var unused = engines.send(upstream, Long.MAX_VALUE, desired);
+                            var unused = engines.sendOrder(upstream, Long.MAX_VALUE, desired);
                         }));
             });
         }
--- a/agatelane-node/src/test/java/io/agatelane/node/io/orders/OrderControllerTest.java
+++ b/agatelane-node/src/test/java/io/agatelane/node/io/orders/OrderControllerTest.java
@@ -43,7 +43,7 @@
         return new Object[][] {{true}, {false}};
     }
 
-    // I1. Guards against an order for older weights that a paused router sends after another one ordered newer ones.
+    // Guards against an order for older weights that a paused router sends after another router ordered newer ones.
     @Test(dataProvider = "fencing")
     public void routerPausedBeforeSendingLeavesNoOlderWeights(boolean checksFencing) {
         Router a = new Router("a", "a");
@@ -57,11 +57,11 @@
         a.control.resume();
         clock.advance(4 * TAKEOVER_MILLIS);
         assertEquals(engines.engine("e").history, List.of("v1", "v3"));
-        assertEquals(a.client.sent, 0);
+        assertEquals(a.client.sentOrders, 0);
     }
 
-    // I1. Guards against an order after the end of the lease, while the next holder waits for the last one of this
-    // router.
+    // Guards against an order that a router sends after its lease expired, while the next holder waits until the
+    // last order of this router has taken effect.
     @Test
     public void noOrderAfterTheLeaseEnded() {
         Router a = new Router("a", "a");
@@ -72,13 +72,14 @@
         clock.advance(OrderTiming.DEFAULT.leaseMillis() + 20_000);
         a.control.resume();
         clock.advance(10_000);
-        assertEquals(a.client.sent, 0);
-        assertEquals(b.client.sent, 0, "the next holder does not wait");
+        assertEquals(a.client.sentOrders, 0);
+        assertEquals(b.client.sentOrders, 0, "the next holder did not wait");
         clock.advance(2 * TAKEOVER_MILLIS);
         assertEquals(engines.engine("e").history, List.of("v1", "v3"));
     }
 
-    // Shows that the scenario above reaches older weights without the rules: the naive sender ends on them.
+    // Shows that the first test can fail: without fencing number, lease and read-back, the engine ends with older
+    // weights.
     @Test(dataProvider = "fencing")
     public void naiveSenderLeavesOlderWeights(boolean checksFencing) {
         FakeRouterControl controlA = new FakeRouterControl(clock);
@@ -97,62 +98,62 @@
         assertEquals(engines.engine("e").history, List.of("v1", "v3", "v2"));
     }
 
-    // I1. Guards against an order that left the router and arrives after one from a newer configuration.
+    // Guards against an order that has left its router and arrives after an order from a newer configuration.
     @Test
-    public void lateOrderIsRefusedByACheckingEngine() {
+    public void lateOrderIsRefusedByEngineThatChecksFencing() {
         Router a = new Router("a", "a");
         Router b = new Router("b", "a", "b");
-        a.client.holdSends = true;
+        a.client.holdOrders = true;
         a.config.set(config(2, "v2", true, "e"));
         clock.advance(5_000);
         b.membership.put("a", MemberState.DEAD, 1);
         b.config.set(config(3, "v3", true, "e"));
         clock.advance(4 * TAKEOVER_MILLIS);
         assertEquals(engines.engine("e").weights, "v3");
-        a.client.releaseSends();
+        a.client.releaseOrders();
         clock.advance(TAKEOVER_MILLIS);
         assertEquals(engines.engine("e").history, List.of("v1", "v3"));
         assertEquals(engines.engine("e").staleOrders, 1);
     }
 
-    // I1. Guards against the next holder ordering before the last order of the one before it has taken effect.
+    // Guards against a new holder that sends an order before the last order of the previous holder has taken effect.
     @Test
-    public void lateOrderWithinItsBoundIsFollowedByTheNewerOne() {
+    public void nextHolderOrdersAfterTheLastOrderTookEffect() {
         Router a = new Router("a", "a");
         Router b = new Router("b", "a", "b");
-        a.client.holdSends = true;
+        a.client.holdOrders = true;
         a.config.set(config(2, "v2", false, "e"));
         clock.advance(TAKEOVER_MILLIS + 2_000);
-        assertEquals(a.client.sent, 1);
+        assertEquals(a.client.sentOrders, 1);
         a.control.pause();
         b.membership.put("a", MemberState.DEAD, 1);
         b.config.set(config(3, "v3", false, "e"));
         clock.advance(OrderTiming.DEFAULT.longestOrderMillis() - engines.loadMillis - 2_000);
-        a.client.releaseSends();
+        a.client.releaseOrders();
         clock.advance(6 * TAKEOVER_MILLIS);
         assertEquals(engines.engine("e").history, List.of("v1", "v2", "v3"));
     }
 
-    // I1. Guards against older weights staying for good when an order arrives even later than its bound allows.
+    // Guards against older weights that stay in force when an order arrives later than the longest time assumed for it.
     @Test
-    public void readBackRepairsAnOrderBeyondItsBound() {
+    public void readBackCorrectsAnOrderThatArrivesTooLate() {
         Router a = new Router("a", "a");
         Router b = new Router("b", "a", "b");
-        a.client.holdSends = true;
+        a.client.holdOrders = true;
         a.config.set(config(2, "v2", false, "e"));
         clock.advance(TAKEOVER_MILLIS + 2_000);
         a.control.pause();
         b.membership.put("a", MemberState.DEAD, 1);
         b.config.set(config(3, "v3", false, "e"));
         clock.advance(6 * TAKEOVER_MILLIS);
-        a.client.releaseSends();
+        a.client.releaseOrders();
         clock.advance(4 * TAKEOVER_MILLIS);
         assertEquals(engines.engine("e").weights, "v3");
     }
 
-    // Guards against a router with an older configuration that undoes the order of one with a newer one.
+    // Guards against a router with an older configuration that reverts an order from a newer configuration.
     @Test(dataProvider = "fencing")
-    public void olderConfigurationGivesWay(boolean checksFencing) {
+    public void olderConfigurationDoesNotOverrideNewerOne(boolean checksFencing) {
         Router a = new Router("a", "a");
         Router b = new Router("b", "b");
         b.config.set(config(3, "v3", checksFencing, "e"));
@@ -175,21 +176,23 @@
         for (String name : names) {
             assertEquals(engines.engine(name).history, List.of("v1", "v2"), name);
         }
-        assertEquals(engines.mostLoads, 2);
-        assertEquals(routers.stream().mapToInt(router -> router.client.sent).sum(), 8);
-        assertTrue(routers.stream().filter(router -> router.client.sent > 0).count() > 1);
+        assertEquals(engines.maxConcurrentLoads, 2);
+        assertEquals(
+                routers.stream().mapToInt(router -> router.client.sentOrders).sum(), 8);
+        assertTrue(
+                routers.stream().filter(router -> router.client.sentOrders > 0).count() > 1);
         assertFalse(store.backup().keySet().stream().anyMatch(key -> key.startsWith("orders/slots/")));
 
         engines.loadMillis = 6_000;
         routers.forEach(router -> router.config.set(config(3, "v3", checksFencing, "pair1", "pair2")));
         clock.advance(3 * TAKEOVER_MILLIS);
         assertEquals(engines.engine("pair1").weights + engines.engine("pair2").weights, "v3v3");
-        assertEquals(engines.mostLoadsOfPair, 1);
+        assertEquals(engines.maxConcurrentPairLoads, 1);
     }
 
-    // Guards against lost replies that stop a roll-out, repeat loads without end, or leave slots taken.
+    // Guards against lost responses that stop a roll-out, repeat loads forever, or leave slots taken.
     @Test(dataProvider = "fencing")
-    public void lostRepliesDelayOnly(boolean checksFencing) {
+    public void lostResponsesOnlyDelayOrders(boolean checksFencing) {
         Router a = new Router("a", "a");
         for (int round = 0; round < 8; round++) {
             store.loseReplies(1 + round % 4);
@@ -201,24 +204,25 @@
                 assertEquals(engines.engine(name).weights, "w" + round);
             }
         }
-        assertEquals(engines.mostLoads, 2);
-        assertTrue(a.client.sent <= 3 * 8 * 2, "sent " + a.client.sent);
+        assertEquals(engines.maxConcurrentLoads, 2);
+        assertTrue(a.client.sentOrders <= 3 * 8 * 2, "sent " + a.client.sentOrders);
     }
 
-    // Guards against orders sent while their desired state cannot be written, and against a stop after an outage.
+    // Guards against orders sent while their record cannot be written, and against orders that stay away after an
+    // outage.
     @Test
     public void platformOutageStopsOrders() {
         Router a = new Router("a", "a");
         store.setOutage(true);
         a.config.set(config(2, "v2", true, "e"));
         clock.advance(2 * TAKEOVER_MILLIS);
-        assertEquals(a.client.sent, 0);
+        assertEquals(a.client.sentOrders, 0);
         store.setOutage(false);
         clock.advance(2 * TAKEOVER_MILLIS);
         assertEquals(engines.engine("e").weights, "v2");
     }
 
-    // Guards against slots of a crashed router that stay taken, and against taking them while its loads still run.
+    // Guards against slots of a crashed router that stay taken, and against a takeover while its loads still run.
     @Test
     public void slotsOfACrashedRouterAreTakenOver() {
         engines.loadMillis = 14_000;
@@ -232,10 +236,10 @@
         for (String name : List.of("e1", "e2", "e3")) {
             assertEquals(engines.engine(name).weights, "v2", name);
         }
-        assertEquals(engines.mostLoads, 2);
+        assertEquals(engines.maxConcurrentLoads, 2);
     }
 
-    // Guards against an engine that comes back empty and stays on other weights, and against orders to one that is
+    // Guards against an engine that restarts with other weights and keeps them, and against orders to an engine that is
     // down.
     @Test
     public void restartedEngineIsOrderedAgain() {
@@ -247,13 +251,13 @@
         clock.advance(TAKEOVER_MILLIS);
         engine.down = false;
         engine.weights = "v1";
-        engine.fencing = 0;
+        engine.highestFencingNumber = 0;
         clock.advance(TAKEOVER_MILLIS);
         assertEquals(engine.weights, "v2");
-        assertEquals(a.client.sent, 2);
+        assertEquals(a.client.sentOrders, 2);
     }
 
-    /** Lets a router prepare everything and pauses it before the first order leaves. */
+    /** Pauses a router after it has written the record of its first order and before it sends this order. */
     private void pauseBeforeSending(Router router, boolean checksFencing) {
         router.config.set(config(2, "v2", checksFencing, "e"));
         for (int i = 0; i < 100_000 && !store.backup().containsKey("orders/e"); i++) {
@@ -261,7 +265,7 @@
         }
         router.control.pause();
         clock.advance(1);
-        assertEquals(router.client.sent, 0, "the pause came too late for this test");
+        assertEquals(router.client.sentOrders, 0, "the pause came too late for this test");
     }
 
     private static ConfigSnapshot config(long revision, String weights, boolean checksFencing, String... names) {
