--- a/agatelane-node/src/main/java/io/agatelane/node/io/service/BookedCalls.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/io/service/BookedCalls.java
@@ -13,11 +13,14 @@
 import java.util.Set;
 import java.util.concurrent.CompletableFuture;
 
-/** Calls that may run at most once: claim first, then send, then record the outcome. Runs on the control thread. */
+/**
+ * Forwards calls that may run at most once: claims the booking, then sends the call, then records the outcome. Runs on
+ * the control thread.
+ */
 final class BookedCalls {
     private static final EventLog LOG = EventLog.of(BookedCalls.class);
     private static final long RETRY_AFTER_MILLIS = 1_000;
-    // The owner ends its wait after the service's timeout; its response needs time to arrive.
+    // The owner waits for a running attempt up to the service's timeout; its response needs more time to arrive.
     private static final long CLAIM_SLACK_MILLIS = 1_000;
 
     private final NodeContext context;
@@ -52,19 +55,20 @@
                 });
     }
 
-    // Nothing is sent before there is a connection, so another instance may be tried under the same claim.
-    private void connect(ServiceRequest call, Attempt attempt, Set<String> tried, CompletableFuture<Answer> result) {
-        Optional<Instance> chosen = calls.choose(call.service().name(), tried);
+    // Nothing is sent before a connection is open, so another instance may be tried under the same claim.
+    private void connect(
+            ServiceRequest call, ServiceAttempt attempt, Set<String> tried, CompletableFuture<Answer> result) {
+        Optional<ServiceInstance> chosen = calls.choose(call.service().name(), tried);
         if (chosen.isEmpty()) {
-            // The refusal is given before the release, after which another attempt may run.
+            // The caller is refused before the claim is released, since another attempt may run after the release.
             result.completeExceptionally(
-                    new AgatelaneException(FailureType.NO_UPSTREAM, "no instance of the service takes calls")
+                    new AgatelaneException(FailureType.NO_UPSTREAM, "no instance of the service accepts calls")
                             .withExecuted(Executed.NO)
                             .withRetryAfterMillis(RETRY_AFTER_MILLIS));
             bookings.record(attempt, Outcome.released());
             return;
         }
-        Instance instance = chosen.get();
+        ServiceInstance instance = chosen.get();
         tried.add(instance.name);
         Completion.thenOn(context.control(), calls.connect(instance), (connection, failure) -> {
             if (failure != null) {
@@ -77,9 +81,9 @@
 
     private void send(
             ServiceRequest call,
-            Attempt attempt,
-            Instance instance,
-            InstanceCalls.OneCall connection,
+            ServiceAttempt attempt,
+            ServiceInstance instance,
+            InstanceCalls.CallConnection connection,
             CompletableFuture<Answer> result) {
         LOG.event("booked_call_sent")
                 .with("request", call.requestId())
@@ -89,11 +93,11 @@
         Completion.thenOn(
                 context.control(),
                 connection.send(call, call.service().timeoutMillis()),
-                (answer, failure) -> finish(attempt, answer, failure, result));
+                (response, failure) -> finish(attempt, response, failure, result));
     }
 
-    // The caller gets an answer as soon as it is decided; recording it may take as long as the platform is out.
-    private void finish(Attempt attempt, Answer answer, Throwable failure, CompletableFuture<Answer> result) {
+    // The caller gets the response without waiting for its record, which may take as long as an outage of the platform.
+    private void finish(ServiceAttempt attempt, Answer response, Throwable failure, CompletableFuture<Answer> result) {
         if (failure != null) {
             bookings.record(attempt, Outcome.unknown());
             result.completeExceptionally(AgatelaneException.from(failure)
@@ -101,8 +105,8 @@
                     .withRetryAfterMillis(RETRY_AFTER_MILLIS));
             return;
         }
-        boolean kept = answer.body().length <= context.settings().maxAnswerBytes();
-        bookings.record(attempt, kept ? Outcome.answered(answer) : Outcome.unknown());
-        result.complete(answer);
+        boolean storable = response.body().length <= context.settings().maxAnswerBytes();
+        bookings.record(attempt, storable ? Outcome.answered(response) : Outcome.unknown());
+        result.complete(response);
     }
 }
--- a/agatelane-node/src/main/java/io/agatelane/node/io/service/BookingCodec.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/io/service/BookingCodec.java
@@ -20,7 +20,7 @@
 import java.util.List;
 import java.util.Optional;
 
-/** Keys and values of bookings as stored and as sent between routers. */
+/** Encodes the store keys and values of bookings, and the messages about bookings between routers. */
 final class BookingCodec {
     private static final HexFormat HEX = HexFormat.of();
 
@@ -34,8 +34,11 @@
         return "bookings/" + partition + "/sealed/" + name;
     }
 
-    /** Key of a long answer: the digest of the booking and the attempt, since an attempt has at most one answer. */
-    static String answerKey(BookingKey key, AttemptId attempt) {
+    /**
+     * Returns the key of a long response, which is stored outside its segment. The key contains a digest of the booking
+     * and the attempt, since an attempt has at most one response.
+     */
+    static String responseKey(BookingKey key, AttemptId attempt) {
         String text =
                 key.canonical() + "\n" + attempt.vmName() + "\n" + attempt.vmIncarnation() + "\n" + attempt.number();
         return "bookings/" + key.partition() + "/answers/" + Digests.sha256Hex(text);
@@ -65,17 +68,19 @@
         return new AttemptId(attempt.getVmName(), attempt.getVmIncarnation(), attempt.getNumber());
     }
 
-    static StoredAnswer toWire(Answer answer) {
+    static StoredAnswer toWire(Answer response) {
         return StoredAnswer.newBuilder()
-                .setStatus(answer.status())
-                .setContentType(answer.contentType())
-                .setBody(ByteString.copyFrom(answer.body()))
+                .setStatus(response.status())
+                .setContentType(response.contentType())
+                .setBody(ByteString.copyFrom(response.body()))
                 .build();
     }
 
-    static Answer fromWire(StoredAnswer answer) {
+    static Answer fromWire(StoredAnswer response) {
         return new Answer(
-                answer.getStatus(), answer.getContentType(), answer.getBody().toByteArray());
+                response.getStatus(),
+                response.getContentType(),
+                response.getBody().toByteArray());
     }
 
     static ByteString digestToWire(String hex) {
@@ -89,7 +94,7 @@
     static byte[] encode(int partition, Segment segment) {
         BookingSegment.Builder builder =
                 BookingSegment.newBuilder().setNumber(segment.number()).setWriter(segment.writer());
-        segment.entries().forEach(booking -> builder.addEntries(entry(booking)));
+        segment.entries().forEach(booking -> builder.addEntries(toEntry(booking)));
         segment.sealed()
                 .forEach(ref -> builder.addSealed(SealedSegment.newBuilder()
                         .setKey(sealedKey(partition, ref.name()))
@@ -103,10 +108,10 @@
         try {
             segment = BookingSegment.parseFrom(value);
         } catch (InvalidProtocolBufferException e) {
-            throw corrupt(key, e);
+            throw corruptValue(key, e);
         }
         List<Booking> entries = new ArrayList<>(segment.getEntriesCount());
-        segment.getEntriesList().forEach(entry -> entries.add(booking(entry)));
+        segment.getEntriesList().forEach(entry -> entries.add(toBooking(entry)));
         List<SealedRef> refs = segment.getSealedList().stream()
                 .map(ref -> new SealedRef(
                         ref.getKey().substring(ref.getKey().lastIndexOf('/') + 1),
@@ -116,37 +121,37 @@
         return new Segment(segment.getNumber(), entries, refs, segment.getWriter());
     }
 
-    static Answer decodeAnswer(String key, byte[] value) {
+    static Answer decodeResponse(String key, byte[] value) {
         try {
             return fromWire(StoredAnswer.parseFrom(value));
         } catch (InvalidProtocolBufferException e) {
-            throw corrupt(key, e);
+            throw corruptValue(key, e);
         }
     }
 
-    private static AgatelaneException corrupt(String key, Throwable cause) {
-        return new AgatelaneException(FailureType.INTERNAL, "the stored value cannot be read", cause).withLocation(key);
+    private static AgatelaneException corruptValue(String key, Throwable cause) {
+        return new AgatelaneException(FailureType.INTERNAL, "the stored value is malformed", cause).withLocation(key);
     }
 
-    private static BookingEntry entry(Booking booking) {
+    private static BookingEntry toEntry(Booking booking) {
         BookingEntry.Builder builder = BookingEntry.newBuilder()
                 .setKey(toWire(booking.key()))
                 .setAttempt(toWire(booking.attempt()))
                 .setRequestDigest(digestToWire(booking.requestDigest()))
                 .setState(state(booking.state()))
                 .setClaimedEpochMillis(booking.claimedEpochMillis());
-        booking.answer().ifPresent(answer -> builder.setAnswer(toWire(answer)));
+        booking.answer().ifPresent(response -> builder.setAnswer(toWire(response)));
         return builder.build();
     }
 
-    private static Booking booking(BookingEntry entry) {
-        Optional<Answer> answer = entry.hasAnswer() ? Optional.of(fromWire(entry.getAnswer())) : Optional.empty();
+    private static Booking toBooking(BookingEntry entry) {
+        Optional<Answer> response = entry.hasAnswer() ? Optional.of(fromWire(entry.getAnswer())) : Optional.empty();
         return new Booking(
                 fromWire(entry.getKey()),
                 fromWire(entry.getAttempt()),
                 digestFromWire(entry.getRequestDigest()),
                 state(entry.getState()),
-                answer,
+                response,
                 entry.getClaimedEpochMillis());
     }
 
@@ -158,7 +163,8 @@
         };
     }
 
-    // A state that this version does not know must not lead to another run of the call.
+    // A state that this version of the program does not know counts as an unknown outcome, so that the call never runs
+    // again.
     private static BookingState state(BookingEntry.State state) {
         return switch (state) {
             case CLAIMED -> BookingState.CLAIMED;
--- a/agatelane-node/src/main/java/io/agatelane/node/io/service/BookingOwner.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/io/service/BookingOwner.java
@@ -36,7 +36,10 @@
 import java.util.function.BiFunction;
 import java.util.function.Function;
 
-/** Runs the state machines of the partitions that this router acts for. All methods run on the control thread. */
+/**
+ * Owner's side of the bookings: runs the state machines of the partitions that this router acts as the owner of. All
+ * methods run on the control thread.
+ */
 final class BookingOwner {
     private static final EventLog LOG = EventLog.of(BookingOwner.class);
     private static final long QUERY_TIMEOUT_MILLIS = 1_000;
@@ -51,15 +54,15 @@
     private final PartitionOwners owners;
     private final BiFunction<Service, String, CompletableFuture<Optional<Answer>>> statusCall;
     private final Map<Integer, PartitionMachine> machines = new HashMap<>();
-    private final Map<Long, Ticket> tickets = new HashMap<>();
-    private final boolean[] owned = new boolean[BookingKey.PARTITIONS];
+    private final Map<Long, PendingResponse> pendingResponses = new HashMap<>();
+    private final boolean[] ownedPartitions = new boolean[BookingKey.PARTITIONS];
     private final List<Subscription> subscriptions = new ArrayList<>();
-    private long nextTicket;
+    private long nextTicketNumber;
 
     /**
-     * Creates the owner's side of the bookings.
+     * Creates the owner without any partition; {@link #start} reads the partitions that this router owns.
      *
-     * @param statusCall asks a service whether the call with an Idempotency-Key ran; empty when that is not known
+     * @param statusCall queries a service whether the call with an Idempotency-Key ran; empty when that is not known
      */
     BookingOwner(
             NodeContext context,
@@ -77,10 +80,10 @@
         this.statusCall = statusCall;
     }
 
-    /** Begins to answer requests of other routers and reads the partitions that this router owns. */
+    /** Begins to respond to requests of other routers and reads the partitions that this router owns. */
     void start() {
-        peers.onRequest(PeerFrame.BodyCase.CLAIM_REQUEST, (from, frame) -> claim(frame.getClaimRequest()));
-        peers.onRequest(PeerFrame.BodyCase.OUTCOME_REQUEST, (from, frame) -> outcome(frame.getOutcomeRequest()));
+        peers.onRequest(PeerFrame.BodyCase.CLAIM_REQUEST, (from, frame) -> handleClaim(frame.getClaimRequest()));
+        peers.onRequest(PeerFrame.BodyCase.OUTCOME_REQUEST, (from, frame) -> handleOutcome(frame.getOutcomeRequest()));
         subscriptions.add(membership.onChange(members -> context.control().execute(this::updateOwnership)));
         subscriptions.add(context.timers().every("bookings", TICK_MILLIS, this::tick));
         context.control().execute(this::updateOwnership);
@@ -90,21 +93,23 @@
         subscriptions.forEach(Subscription::cancel);
     }
 
-    private CompletableFuture<PeerFrame> claim(ClaimRequest request) {
+    private CompletableFuture<PeerFrame> handleClaim(ClaimRequest request) {
         BookingKey key = BookingCodec.fromWire(request.getKey());
         AttemptId attempt = BookingCodec.fromWire(request.getAttempt());
         String digest = BookingCodec.digestFromWire(request.getRequestDigest());
-        Ticket ticket = new Ticket();
-        long number = nextTicket++;
-        tickets.put(number, ticket);
+        PendingResponse pending = new PendingResponse();
+        long ticketNumber = nextTicketNumber++;
+        pendingResponses.put(ticketNumber, pending);
         int partition = key.partition();
-        ticket.timer = context.timers()
-                .after(waitMillis(key.service()), () -> post(partition, machine -> machine.waitExpired(now(), number)));
-        post(partition, machine -> machine.claim(now(), number, key, attempt, digest));
-        return ticket.response;
+        pending.timer = context.timers()
+                .after(
+                        waitMillis(key.service()),
+                        () -> applyEvent(partition, machine -> machine.waitExpired(now(), ticketNumber)));
+        applyEvent(partition, machine -> machine.claim(now(), ticketNumber, key, attempt, digest));
+        return pending.response;
     }
 
-    private CompletableFuture<PeerFrame> outcome(OutcomeRequest request) {
+    private CompletableFuture<PeerFrame> handleOutcome(OutcomeRequest request) {
         BookingKey key = BookingCodec.fromWire(request.getKey());
         AttemptId attempt = BookingCodec.fromWire(request.getAttempt());
         Outcome outcome =
@@ -114,59 +119,60 @@
                     case UNKNOWN -> Outcome.unknown();
                     default -> throw new AgatelaneException(FailureType.MALFORMED_REQUEST, "an outcome is required");
                 };
-        Ticket ticket = new Ticket();
-        long number = nextTicket++;
-        tickets.put(number, ticket);
-        post(key.partition(), machine -> machine.outcome(now(), number, key, attempt, outcome));
-        return ticket.response;
+        PendingResponse pending = new PendingResponse();
+        long ticketNumber = nextTicketNumber++;
+        pendingResponses.put(ticketNumber, pending);
+        applyEvent(key.partition(), machine -> machine.outcome(now(), ticketNumber, key, attempt, outcome));
+        return pending.response;
     }
 
     private void updateOwnership() {
         for (int partition = 0; partition < BookingKey.PARTITIONS; partition++) {
-            boolean nowOwned = owners.ownedHere(partition);
-            if (nowOwned && !owned[partition]) {
-                post(partition, machine -> machine.ownershipGained(now()));
+            boolean nowOwned = owners.isOwnedHere(partition);
+            if (nowOwned && !ownedPartitions[partition]) {
+                applyEvent(partition, machine -> machine.ownershipGained(now()));
             }
-            owned[partition] = nowOwned;
+            ownedPartitions[partition] = nowOwned;
         }
     }
 
     private void tick() {
         for (int partition : List.copyOf(machines.keySet())) {
             PartitionMachine machine = machines.get(partition);
-            if (!owned[partition] && machine.isIdle()) {
+            if (!ownedPartitions[partition] && machine.isIdle()) {
                 machines.remove(partition);
             } else {
-                post(partition, current -> current.tick(now()));
+                applyEvent(partition, current -> current.tick(now()));
             }
         }
     }
 
-    private void post(int partition, Function<PartitionMachine, List<Effect>> event) {
+    private void applyEvent(int partition, Function<PartitionMachine, List<Effect>> event) {
         PartitionMachine machine = machines.computeIfAbsent(
                 partition,
                 unused -> new PartitionMachine(
                         BookingRules.DEFAULT, context.settings().vmName() + "-" + context.incarnation()));
         for (Effect effect : event.apply(machine)) {
-            run(partition, effect);
+            runEffect(partition, effect);
         }
     }
 
-    private void run(int partition, Effect effect) {
+    private void runEffect(int partition, Effect effect) {
         if (effect instanceof Effect.Load load) {
-            then(partition, store.load(partition, load.knownSealed()), (machine, loaded, failure) -> {
+            continueWith(partition, store.load(partition, load.knownSealed()), (machine, loaded, failure) -> {
                 return failure == null ? machine.loaded(now(), loaded) : loadFailed(machine, partition, failure);
             });
         } else if (effect instanceof Effect.Swap swap) {
-            then(partition, store.swap(partition, swap), (machine, revision, failure) -> {
+            continueWith(partition, store.swap(partition, swap), (machine, revision, failure) -> {
                 return failure == null ? machine.swapWon(now(), revision) : swapFailed(machine, partition, failure);
             });
-        } else if (effect instanceof Effect.CommitSoon soon) {
-            context.timers().after(soon.delayMillis(), () -> post(partition, machine -> machine.commitDue(now())));
+        } else if (effect instanceof Effect.CommitSoon commit) {
+            context.timers()
+                    .after(commit.delayMillis(), () -> applyEvent(partition, machine -> machine.commitDue(now())));
         } else if (effect instanceof Effect.Reply reply) {
-            reply(reply);
+            replyToClaim(reply);
         } else if (effect instanceof Effect.ReplyOutcome reply) {
-            respond(
+            completeResponse(
                     reply.ticket(),
                     PeerFrame.newBuilder()
                             .setOutcomeResponse(OutcomeResponse.newBuilder().setDurable(reply.durable()))
@@ -174,30 +180,30 @@
         } else if (effect instanceof Effect.QueryClaimant query) {
             queryClaimant(partition, query);
         } else if (effect instanceof Effect.CallStatus call) {
-            then(partition, callStatus(call.key()), (machine, answer, failure) -> {
-                Optional<Answer> known = failure == null ? answer : Optional.empty();
+            continueWith(partition, queryStatus(call.key()), (machine, response, failure) -> {
+                Optional<Answer> known = failure == null ? response : Optional.empty();
                 return machine.statusAnswered(now(), call.key(), call.attempt(), known);
             });
         } else if (effect instanceof Effect.StoreAnswer write) {
-            then(
+            continueWith(
                     partition,
-                    store.storeAnswer(write.key(), write.attempt(), write.answer()),
+                    store.storeResponse(write.key(), write.attempt(), write.answer()),
                     (machine, done, failure) ->
                             machine.answerStored(now(), write.key(), write.attempt(), failure == null));
         } else if (effect instanceof Effect.LoadAnswer read) {
-            then(partition, store.loadAnswer(read.key(), read.attempt()), (machine, answer, failure) -> {
-                return machine.answerLoaded(now(), read.attempt(), failure == null ? answer : Optional.empty());
+            continueWith(partition, store.loadResponse(read.key(), read.attempt()), (machine, response, failure) -> {
+                return machine.answerLoaded(now(), read.attempt(), failure == null ? response : Optional.empty());
             });
         } else if (effect instanceof Effect.DeleteSealed delete) {
             delete.names().forEach(name -> store.deleteSealed(partition, name));
         }
     }
 
-    private <T> void then(int partition, CompletableFuture<T> result, Continuation<T> continuation) {
+    private <T> void continueWith(int partition, CompletableFuture<T> result, Continuation<T> continuation) {
         Completion.thenOn(
                 context.control(),
                 result,
-                (value, failure) -> post(
+                (value, failure) -> applyEvent(
                         partition,
                         machine -> continuation.apply(
                                 machine, value, failure == null ? null : AgatelaneException.from(failure))));
@@ -229,7 +235,7 @@
     private void queryClaimant(int partition, Effect.QueryClaimant query) {
         AttemptId attempt = query.attempt();
         if (isDead(attempt.vmName())) {
-            claimantAnswered(partition, query, ClaimantState.GONE, Optional.empty());
+            claimantReported(partition, query, ClaimantState.GONE, Optional.empty());
             return;
         }
         PeerFrame frame = PeerFrame.newBuilder()
@@ -242,44 +248,45 @@
                     if (failure != null) {
                         boolean dead = isDead(attempt.vmName());
                         ClaimantState state = dead ? ClaimantState.GONE : ClaimantState.UNREACHABLE;
-                        claimantAnswered(partition, query, state, Optional.empty());
+                        claimantReported(partition, query, state, Optional.empty());
                     } else {
-                        claimantAnswered(partition, query, response.getAttemptAnswer());
+                        claimantReported(partition, query, response.getAttemptAnswer());
                     }
                 });
     }
 
-    private void claimantAnswered(int partition, Effect.QueryClaimant query, AttemptAnswer answer) {
-        switch (answer.getState()) {
-            case RUNNING -> claimantAnswered(partition, query, ClaimantState.RUNNING, Optional.empty());
-            case FINISHED -> claimantAnswered(
-                    partition, query, ClaimantState.FINISHED, Optional.of(BookingCodec.fromWire(answer.getAnswer())));
-            case NEVER_SENT -> claimantAnswered(partition, query, ClaimantState.NEVER_SENT, Optional.empty());
-            case SENT_WITHOUT_ANSWER -> claimantAnswered(
+    private void claimantReported(int partition, Effect.QueryClaimant query, AttemptAnswer response) {
+        switch (response.getState()) {
+            case RUNNING -> claimantReported(partition, query, ClaimantState.RUNNING, Optional.empty());
+            case FINISHED -> claimantReported(
+                    partition, query, ClaimantState.FINISHED, Optional.of(BookingCodec.fromWire(response.getAnswer())));
+            case NEVER_SENT -> claimantReported(partition, query, ClaimantState.NEVER_SENT, Optional.empty());
+            case SENT_WITHOUT_ANSWER -> claimantReported(
                     partition, query, ClaimantState.SENT_WITHOUT_ANSWER, Optional.empty());
-            case NOT_KNOWN -> claimantAnswered(partition, query, ClaimantState.GONE, Optional.empty());
-            default -> claimantAnswered(partition, query, ClaimantState.UNREACHABLE, Optional.empty());
+            case NOT_KNOWN -> claimantReported(partition, query, ClaimantState.GONE, Optional.empty());
+            default -> claimantReported(partition, query, ClaimantState.UNREACHABLE, Optional.empty());
         }
     }
 
-    private void claimantAnswered(
-            int partition, Effect.QueryClaimant query, ClaimantState state, Optional<Answer> answer) {
+    private void claimantReported(
+            int partition, Effect.QueryClaimant query, ClaimantState state, Optional<Answer> response) {
         LOG.event("booking_claimant_queried")
                 .with("partition", Integer.toString(partition))
                 .with("claimant", query.attempt().vmName())
                 .with("attempt", Long.toString(query.attempt().number()))
                 .with("state", state)
                 .info();
-        post(partition, machine -> machine.claimantAnswered(now(), query.key(), query.attempt(), state, answer));
+        applyEvent(
+                partition, machine -> machine.claimantAnswered(now(), query.key(), query.attempt(), state, response));
     }
 
-    // A router that is not known any more was dead for a long time.
+    // The membership forgets a router only when it has been dead for a long time.
     private boolean isDead(String vmName) {
         Optional<Member> member = membership.member(vmName);
         return member.isEmpty() || member.get().state() == MemberState.DEAD;
     }
 
-    private CompletableFuture<Optional<Answer>> callStatus(BookingKey key) {
+    private CompletableFuture<Optional<Answer>> queryStatus(BookingKey key) {
         Optional<Service> service = service(key.service());
         if (service.isEmpty() || service.get().statusPath().isEmpty()) {
             return CompletableFuture.completedFuture(Optional.empty());
@@ -287,22 +294,22 @@
         return statusCall.apply(service.get(), key.idempotencyKey());
     }
 
-    private void reply(Effect.Reply reply) {
+    private void replyToClaim(Effect.Reply reply) {
         ClaimResponse.Builder response = ClaimResponse.newBuilder()
                 .setVerdict(ClaimResponse.Verdict.valueOf(reply.verdict().name()));
         reply.claimant().ifPresent(attempt -> response.setClaimant(BookingCodec.toWire(attempt)));
-        reply.answer().ifPresent(answer -> response.setAnswer(BookingCodec.toWire(answer)));
+        reply.answer().ifPresent(earlier -> response.setAnswer(BookingCodec.toWire(earlier)));
         context.metrics().counter("bookings.verdict." + reply.verdict()).inc();
-        respond(
+        completeResponse(
                 reply.ticket(),
                 PeerFrame.newBuilder().setClaimResponse(response).build());
     }
 
-    private void respond(long number, PeerFrame frame) {
-        Ticket ticket = tickets.remove(number);
-        if (ticket != null) {
-            ticket.timer.cancel();
-            ticket.response.complete(frame);
+    private void completeResponse(long ticketNumber, PeerFrame frame) {
+        PendingResponse pending = pendingResponses.remove(ticketNumber);
+        if (pending != null) {
+            pending.timer.cancel();
+            pending.response.complete(frame);
         }
     }
 
@@ -320,12 +327,12 @@
         return new Now(context.timers().monotonicMillis(), context.timers().epochMillis());
     }
 
-    /** What follows from the result of an effect; one of value and failure is null. */
+    /** Applies the result of an effect to the state machine; value is null after a failure, failure after a success. */
     private interface Continuation<T> {
         List<Effect> apply(PartitionMachine machine, T value, AgatelaneException failure);
     }
 
-    private static final class Ticket {
+    private static final class PendingResponse {
         private final CompletableFuture<PeerFrame> response = new CompletableFuture<>();
         private Subscription timer = () -> {};
     }
--- a/agatelane-node/src/main/java/io/agatelane/node/io/service/Completion.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/io/service/Completion.java
@@ -4,7 +4,7 @@
 import java.util.concurrent.Executor;
 import java.util.function.BiConsumer;
 
-/** Actions at the end of a future whose own result nobody needs. */
+/** Attaches actions to futures whose resulting stage is not needed. */
 final class Completion {
     private Completion() {}
 
--- a/agatelane-node/src/main/java/io/agatelane/node/io/service/Digests.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/io/service/Digests.java
@@ -13,7 +13,7 @@
         return HexFormat.of().formatHex(sha256().digest(text.getBytes(StandardCharsets.UTF_8)));
     }
 
-    /** Digest of a request: the same call must have the same method, target and body. */
+    /** Returns the digest of a request. Only requests with the same method, target and body have the same digest. */
     static String ofRequest(String method, String target, byte[] body) {
         MessageDigest digest = sha256();
         digest.update((method + " " + target + "\n").getBytes(StandardCharsets.UTF_8));
--- a/agatelane-node/src/main/java/io/agatelane/node/io/service/HttpInstanceCalls.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/io/service/HttpInstanceCalls.java
@@ -4,7 +4,7 @@
 import java.util.Set;
 import java.util.concurrent.CompletableFuture;
 
-/** Calls that may run at most once, over HTTP. */
+/** Sends calls that may run at most once over HTTP and counts them as outstanding at their instance. */
 final class HttpInstanceCalls implements InstanceCalls {
     private final InstancePool pool;
     private final ServiceClient client;
@@ -15,22 +15,22 @@
     }
 
     @Override
-    public Optional<Instance> choose(String service, Set<String> tried) {
+    public Optional<ServiceInstance> choose(String service, Set<String> tried) {
         return pool.choose(service, tried);
     }
 
     @Override
-    public CompletableFuture<OneCall> connect(Instance instance) {
-        instance.outstanding.incrementAndGet();
+    public CompletableFuture<CallConnection> connect(ServiceInstance instance) {
+        instance.outstandingCalls.incrementAndGet();
         return client.connect(instance.baseUrl)
                 .whenComplete((connection, failure) -> {
                     if (failure != null) {
-                        instance.outstanding.decrementAndGet();
-                        instance.unreachable();
+                        instance.outstandingCalls.decrementAndGet();
+                        instance.markUnreachable();
                     }
                 })
                 .thenApply(connection ->
                         (call, timeoutMillis) -> client.callOnce(connection, instance.baseUrl, call, timeoutMillis)
-                                .whenComplete((answer, failure) -> instance.outstanding.decrementAndGet()));
+                                .whenComplete((response, failure) -> instance.outstandingCalls.decrementAndGet()));
     }
 }
--- a/agatelane-node/src/main/java/io/agatelane/node/io/service/InstanceCalls.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/io/service/InstanceCalls.java
@@ -5,16 +5,16 @@
 import java.util.Set;
 import java.util.concurrent.CompletableFuture;
 
-/** Calls to the instances of a service, one connection each; tests replace it. */
+/** Sends calls to instances of a service, each on a connection of its own; tests replace the implementation. */
 interface InstanceCalls {
-    /** Chooses an instance that was not tried; empty when there is none. */
-    Optional<Instance> choose(String service, Set<String> tried);
+    /** Chooses an instance that was not tried yet; empty when there is none. */
+    Optional<ServiceInstance> choose(String service, Set<String> tried);
 
     /** Opens a connection; when this fails, nothing was sent. */
-    CompletableFuture<OneCall> connect(Instance instance);
+    CompletableFuture<CallConnection> connect(ServiceInstance instance);
 
-    /** A connection for one call. */
-    interface OneCall {
+    /** An open connection that carries exactly one call. */
+    interface CallConnection {
         /** Sends the call; when this fails, the call may have run. */
         CompletableFuture<Answer> send(ServiceRequest call, long timeoutMillis);
     }
--- a/agatelane-node/src/main/java/io/agatelane/node/io/service/InstancePool.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/io/service/InstancePool.java
@@ -20,7 +20,7 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** Chooses instances of plain services by their outstanding calls and load reports. */
+/** Polls the load reports of plain services and chooses the least loaded instance for a call. */
 final class InstancePool {
     private static final EventLog LOG = EventLog.of(InstancePool.class);
     private static final ObjectMapper MAPPER = new ObjectMapper();
@@ -31,7 +31,7 @@
     private final NodeContext context;
     private final ConfigView config;
     private final ServiceClient client;
-    private final Map<String, Instance> instances = new ConcurrentHashMap<>();
+    private final Map<String, ServiceInstance> instances = new ConcurrentHashMap<>();
     private final AtomicInteger rotation = new AtomicInteger();
     private Subscription timer = () -> {};
 
@@ -42,8 +42,8 @@
     }
 
     void start() {
-        timer = context.timers().every("service-load", REPORT_PERIOD_MILLIS, this::askForReports);
-        context.control().execute(this::askForReports);
+        timer = context.timers().every("service-load", REPORT_PERIOD_MILLIS, this::pollReports);
+        context.control().execute(this::pollReports);
     }
 
     void stop() {
@@ -54,21 +54,21 @@
      * Chooses the instance for a call.
      *
      * @param excluded names of instances that were tried already
-     * @return empty when every instance is draining or was tried
+     * @return empty when every instance is draining or excluded
      */
-    Optional<Instance> choose(String service, Set<String> excluded) {
-        Instance best = null;
+    Optional<ServiceInstance> choose(String service, Set<String> excluded) {
+        ServiceInstance best = null;
         double bestScore = Double.MAX_VALUE;
         List<Upstream> upstreams = config.current().upstreamsOfService(service);
-        int start = upstreams.isEmpty() ? 0 : Math.floorMod(rotation.getAndIncrement(), upstreams.size());
+        int firstIndex = upstreams.isEmpty() ? 0 : Math.floorMod(rotation.getAndIncrement(), upstreams.size());
         for (int i = 0; i < upstreams.size(); i++) {
-            Upstream upstream = upstreams.get((start + i) % upstreams.size());
-            Instance instance = instance(upstream);
+            Upstream upstream = upstreams.get((firstIndex + i) % upstreams.size());
+            ServiceInstance instance = instance(upstream);
             if (upstream.draining() || instance.isDraining() || excluded.contains(upstream.name())) {
                 continue;
             }
-            double score = (instance.calls() + 1) / Math.max(1, upstream.slots());
-            // The reports of a dead instance may be at fault, so it is tried when there is no other.
+            double score = (instance.estimatedCalls() + 1) / Math.max(1, upstream.slots());
+            // A dead instance may be alive with only its load reports failing, so it is chosen when there is no other.
             score = instance.isDead() ? score + Integer.MAX_VALUE : score;
             if (score < bestScore) {
                 best = instance;
@@ -78,35 +78,35 @@
         return Optional.ofNullable(best);
     }
 
-    private Instance instance(Upstream upstream) {
+    private ServiceInstance instance(Upstream upstream) {
         return instances.compute(
                 upstream.name(),
-                (name, known) -> known != null && known.baseUrl.equals(upstream.baseUrl())
-                        ? known
-                        : new Instance(name, upstream.baseUrl()));
+                (name, existing) -> existing != null && existing.baseUrl.equals(upstream.baseUrl())
+                        ? existing
+                        : new ServiceInstance(name, upstream.baseUrl()));
     }
 
-    private void askForReports() {
+    private void pollReports() {
         ConfigSnapshot snapshot = config.current();
         Set<String> names = new HashSet<>();
         for (Upstream upstream : snapshot.upstreams()) {
             if (!upstream.isEngine()) {
                 names.add(upstream.name());
-                askForReport(instance(upstream));
+                pollReport(instance(upstream));
             }
         }
         instances.keySet().retainAll(names);
     }
 
-    private void askForReport(Instance instance) {
-        int outstanding = instance.outstanding.get();
+    private void pollReport(ServiceInstance instance) {
+        int outstandingCalls = instance.outstandingCalls.get();
         CompletableFuture<Answer> load = client.get(instance.baseUrl, "/load", Map.of(), REPORT_TIMEOUT_MILLIS);
-        Completion.then(load, (answer, failure) -> {
+        Completion.then(load, (response, failure) -> {
             boolean wasDead = instance.isDead();
             if (failure != null) {
-                instance.reportFailed();
+                instance.recordReportFailure();
             } else {
-                read(instance, answer, outstanding);
+                recordReport(instance, response, outstandingCalls);
             }
             if (wasDead != instance.isDead()) {
                 LOG.event("service_instance_changed")
@@ -117,12 +117,12 @@
         });
     }
 
-    // An instance without a readable report is alive all the same.
-    private static void read(Instance instance, Answer answer, int outstanding) {
+    // An instance that responds without a readable report still counts as alive.
+    private static void recordReport(ServiceInstance instance, Answer response, int outstandingCalls) {
         JsonNode report = MAPPER.missingNode();
-        if (answer.status() == OK) {
+        if (response.status() == OK) {
             try {
-                report = MAPPER.readTree(new String(answer.body(), StandardCharsets.UTF_8));
+                report = MAPPER.readTree(new String(response.body(), StandardCharsets.UTF_8));
             } catch (JsonProcessingException e) {
                 LOG.event("load_report_malformed")
                         .with("upstream", instance.name)
@@ -132,6 +132,6 @@
         boolean draining = "draining".equals(report.path("role").asText());
         int running = report.path("running").asInt(0);
         int waiting = report.path("waiting").asInt(0);
-        instance.reported(running, waiting, report.isMissingNode() ? 0 : outstanding, draining);
+        instance.recordReport(running, waiting, report.isMissingNode() ? 0 : outstandingCalls, draining);
     }
 }
--- a/agatelane-node/src/main/java/io/agatelane/node/io/service/PartitionOwners.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/io/service/PartitionOwners.java
@@ -6,7 +6,7 @@
 import java.util.Comparator;
 import java.util.List;
 
-/** Which routers act as owner of a partition of the bookings. */
+/** Ranks the live routers of each booking partition by rendezvous hashing; the first in rank owns the partition. */
 final class PartitionOwners {
     private final MembershipView membership;
 
@@ -14,24 +14,26 @@
         this.membership = membership;
     }
 
-    /** The router with a rank for a partition; ranks beyond the last begin again with the owner. */
-    String byRank(int partition, int rank) {
+    /** Returns the name of the router with a rank for a partition; ranks beyond the last start again with the owner. */
+    String nameByRank(int partition, int rank) {
         if (rank == 0) {
             List<Member> live = membership.liveMembers();
-            int first = Rendezvous.first(keyHash(partition), live, member -> Rendezvous.hash(member.name()));
-            return first < 0 ? membership.self().name() : live.get(first).name();
+            int ownerIndex = Rendezvous.first(keyHash(partition), live, member -> Rendezvous.hash(member.name()));
+            return ownerIndex < 0
+                    ? membership.self().name()
+                    : live.get(ownerIndex).name();
         }
-        List<String> ranked = ranked(partition);
+        List<String> ranked = rankedNames(partition);
         return ranked.get(rank % ranked.size());
     }
 
-    boolean ownedHere(int partition) {
+    boolean isOwnedHere(int partition) {
         Member self = membership.self();
-        return self.state().isLive() && byRank(partition, 0).equals(self.name());
+        return self.state().isLive() && nameByRank(partition, 0).equals(self.name());
     }
 
-    // Live routers in the order in which they own a partition; never empty.
-    private List<String> ranked(int partition) {
+    // Returns the live routers in order of their rank for the partition, the owner first; never empty.
+    private List<String> rankedNames(int partition) {
         long keyHash = keyHash(partition);
         List<String> names = membership.liveMembers().stream()
                 .map(Member::name)
@@ -40,7 +42,7 @@
                                 Long::compareUnsigned)
                         .reversed())
                 .toList();
-        // A router that leaves is no live member, yet it still has outcomes to record.
+        // A draining router is not a live member, but still has outcomes to record.
         return names.isEmpty() ? List.of(membership.self().name()) : names;
     }
 
--- a/agatelane-node/src/main/java/io/agatelane/node/io/service/PartitionStore.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/io/service/PartitionStore.java
@@ -22,7 +22,7 @@
 import java.util.Set;
 import java.util.concurrent.CompletableFuture;
 
-/** Platform calls for the bookings of one router. */
+/** Reads and writes booking partitions in the key-value store. */
 final class PartitionStore {
     private static final EventLog LOG = EventLog.of(PartitionStore.class);
 
@@ -32,7 +32,7 @@
         this.store = store;
     }
 
-    /** Reads a partition except for the sealed segments that are known. */
+    /** Reads a partition, except for the sealed segments that the caller already knows. */
     CompletableFuture<LoadedPartition> load(int partition, Set<String> knownSealed) {
         String key = BookingCodec.openKey(partition);
         return store.get(key).thenCompose(found -> {
@@ -53,34 +53,34 @@
         });
     }
 
-    /** Writes the sealed segment, if any, and then swaps the open one. */
+    /** Writes the sealed segment, if any, and then replaces the open segment by compare-and-set. */
     CompletableFuture<Long> swap(int partition, Effect.Swap swap) {
-        CompletableFuture<Void> sealedFirst = swap.sealed()
-                .map(write -> createOnce(
+        CompletableFuture<Void> sealedWrite = swap.sealed()
+                .map(write -> createIfAbsent(
                         BookingCodec.sealedKey(partition, write.name()),
                         BookingCodec.encode(partition, write.segment())))
                 .orElseGet(() -> CompletableFuture.completedFuture(null));
         byte[] open = BookingCodec.encode(partition, swap.open());
-        return sealedFirst.thenCompose(
+        return sealedWrite.thenCompose(
                 done -> store.compareAndSet(BookingCodec.openKey(partition), swap.expectedRevision(), open));
     }
 
-    CompletableFuture<Void> storeAnswer(BookingKey key, AttemptId attempt, Answer answer) {
-        return createOnce(
-                BookingCodec.answerKey(key, attempt),
-                BookingCodec.toWire(answer).toByteArray());
+    CompletableFuture<Void> storeResponse(BookingKey key, AttemptId attempt, Answer response) {
+        return createIfAbsent(
+                BookingCodec.responseKey(key, attempt),
+                BookingCodec.toWire(response).toByteArray());
     }
 
-    CompletableFuture<Optional<Answer>> loadAnswer(BookingKey key, AttemptId attempt) {
-        String name = BookingCodec.answerKey(key, attempt);
-        return store.get(name).thenApply(found -> found.map(value -> BookingCodec.decodeAnswer(name, value.value())));
+    CompletableFuture<Optional<Answer>> loadResponse(BookingKey key, AttemptId attempt) {
+        String name = BookingCodec.responseKey(key, attempt);
+        return store.get(name).thenApply(found -> found.map(value -> BookingCodec.decodeResponse(name, value.value())));
     }
 
-    /** Deletes an expired sealed segment and the long answers it refers to. */
+    /** Deletes an expired sealed segment and the separately stored responses that it refers to. */
     void deleteSealed(int partition, String name) {
         String key = BookingCodec.sealedKey(partition, name);
         CompletableFuture<Void> deletion = store.get(key)
-                .thenCompose(found -> found.map(value -> deleteWithAnswers(key, value))
+                .thenCompose(found -> found.map(value -> deleteWithResponses(key, value))
                         .orElseGet(() -> CompletableFuture.completedFuture(null)));
         Completion.then(deletion, (done, failure) -> {
             if (failure != null) {
@@ -92,17 +92,17 @@
         });
     }
 
-    private CompletableFuture<Void> deleteWithAnswers(String key, KeyValue sealedValue) {
-        List<String> answerKeys = new ArrayList<>();
+    private CompletableFuture<Void> deleteWithResponses(String key, KeyValue sealedValue) {
+        List<String> responseKeys = new ArrayList<>();
         for (Booking booking : BookingCodec.decode(key, sealedValue.value()).entries()) {
             if (booking.state() == BookingState.FINISHED && booking.answer().isEmpty()) {
-                answerKeys.add(BookingCodec.answerKey(booking.key(), booking.attempt()));
+                responseKeys.add(BookingCodec.responseKey(booking.key(), booking.attempt()));
             }
         }
         CompletableFuture<Void> deletions = CompletableFuture.completedFuture(null);
-        for (String answerKey : answerKeys) {
-            deletions = deletions.thenCompose(done -> store.get(answerKey)).thenCompose(found -> found.map(
-                            value -> store.compareAndDelete(answerKey, value.revision()))
+        for (String responseKey : responseKeys) {
+            deletions = deletions.thenCompose(done -> store.get(responseKey)).thenCompose(found -> found.map(
+                            value -> store.compareAndDelete(responseKey, value.revision()))
                     .orElseGet(() -> CompletableFuture.completedFuture(null)));
         }
         return deletions.thenCompose(done -> store.compareAndDelete(key, sealedValue.revision()));
@@ -111,16 +111,17 @@
     private CompletableFuture<Segment> loadSealed(int partition, String name) {
         String key = BookingCodec.sealedKey(partition, name);
         return store.get(key).thenApply(found -> {
-            // The open segment that listed it has been replaced since; reading the partition again finds the new list.
+            // The open segment that lists the missing one has been replaced since, so reading the partition again
+            // finds the new list.
             KeyValue value = found.orElseThrow(() ->
-                    new AgatelaneException(FailureType.NOT_FOUND, "a sealed segment is missing").withLocation(key));
+                    new AgatelaneException(FailureType.NOT_FOUND, "a sealed segment does not exist").withLocation(key));
             return BookingCodec.decode(key, value.value());
         });
     }
 
-    // The content under such a key never differs, so a key that exists already is as good as a write. A write whose
-    // reply was lost is repeated once; the repeat tells whether the key exists.
-    private CompletableFuture<Void> createOnce(String key, byte[] value) {
+    // Every writer writes the same content under such a key, so a key that exists already counts as written. A write
+    // whose response was lost is repeated once; the repetition shows whether the key exists.
+    private CompletableFuture<Void> createIfAbsent(String key, byte[] value) {
         return create(key, value)
                 .exceptionallyCompose(failure -> {
                     AgatelaneException cause = AgatelaneException.from(failure);
@@ -131,7 +132,7 @@
                 })
                 .exceptionallyCompose(failure -> {
                     AgatelaneException cause = AgatelaneException.from(failure);
-                    // The open segment is not written in this case, so nothing that matters has taken effect.
+                    // The open segment is not written in this case, so the partition is unchanged.
                     return CompletableFuture.failedFuture(
                             new AgatelaneException(FailureType.PLATFORM_UNAVAILABLE, cause.getMessage(), cause)
                                     .withLocation(key));
--- a/agatelane-node/src/main/java/io/agatelane/node/io/service/RepeatableCalls.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/io/service/RepeatableCalls.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.ConcurrentHashMap;
 
-/** Forwards calls that may run any number of times; a failed one is tried on another instance within a budget. */
+/** Forwards calls that may run any number of times; a failed one is retried on another instance within a budget. */
 final class RepeatableCalls {
     private static final EventLog LOG = EventLog.of(RepeatableCalls.class);
     private static final int MAX_ATTEMPTS = 3;
@@ -33,55 +33,57 @@
     }
 
     CompletableFuture<Answer> run(ServiceRequest call) {
-        budget(call).called();
+        budget(call).recordCall();
         long deadlineMillis =
                 context.timers().monotonicMillis() + call.service().timeoutMillis();
         Progress progress = new Progress(deadlineMillis);
-        attempt(call, progress);
+        sendAttempt(call, progress);
         return progress.result;
     }
 
-    private void attempt(ServiceRequest call, Progress progress) {
-        Optional<Instance> chosen = pool.choose(call.service().name(), progress.tried);
+    private void sendAttempt(ServiceRequest call, Progress progress) {
+        Optional<ServiceInstance> chosen = pool.choose(call.service().name(), progress.tried);
         if (chosen.isEmpty()) {
-            fail(progress, new AgatelaneException(FailureType.NO_UPSTREAM, "no instance of the service takes calls"));
+            fail(progress, new AgatelaneException(FailureType.NO_UPSTREAM, "no instance of the service accepts calls"));
             return;
         }
-        Instance instance = chosen.get();
+        ServiceInstance instance = chosen.get();
         progress.tried.add(instance.name);
-        long leftMillis = Math.max(1, progress.deadlineMillis - context.timers().monotonicMillis());
-        boolean first = progress.tried.size() == 1;
-        // Half of the time is left for another instance when this one does not answer.
-        long timeoutMillis = first && hasOther(call, progress) ? Math.max(1, leftMillis / 2) : leftMillis;
+        long remainingMillis =
+                Math.max(1, progress.deadlineMillis - context.timers().monotonicMillis());
+        boolean firstAttempt = progress.tried.size() == 1;
+        // Half of the time is reserved for another instance in case this one does not respond.
+        long timeoutMillis =
+                firstAttempt && hasOtherInstance(call, progress) ? Math.max(1, remainingMillis / 2) : remainingMillis;
         LOG.event("service_call")
                 .with("request", call.requestId())
                 .with("upstream", instance.name)
                 .with("attempt", Integer.toString(progress.tried.size()))
                 .info();
-        instance.outstanding.incrementAndGet();
-        Completion.then(client.call(instance.baseUrl, call, timeoutMillis), (answer, failure) -> {
-            instance.outstanding.decrementAndGet();
+        instance.outstandingCalls.incrementAndGet();
+        Completion.then(client.call(instance.baseUrl, call, timeoutMillis), (response, failure) -> {
+            instance.outstandingCalls.decrementAndGet();
             if (failure != null) {
-                noteFailure(instance, progress, AgatelaneException.from(failure));
+                recordFailure(instance, progress, AgatelaneException.from(failure));
             }
-            if ((failure != null || isUnavailable(answer)) && mayRetry(call, progress)) {
-                attempt(call, progress);
+            if ((failure != null || isUnavailable(response)) && tryAcquireRetry(call, progress)) {
+                sendAttempt(call, progress);
             } else if (failure == null) {
-                progress.result.complete(answer);
+                progress.result.complete(response);
             } else {
                 fail(progress, AgatelaneException.from(failure));
             }
         });
     }
 
-    private boolean mayRetry(ServiceRequest call, Progress progress) {
+    private boolean tryAcquireRetry(ServiceRequest call, Progress progress) {
         return progress.tried.size() < MAX_ATTEMPTS
                 && context.timers().monotonicMillis() < progress.deadlineMillis
-                && hasOther(call, progress)
-                && budget(call).tryRetry();
+                && hasOtherInstance(call, progress)
+                && budget(call).tryAcquire();
     }
 
-    private boolean hasOther(ServiceRequest call, Progress progress) {
+    private boolean hasOtherInstance(ServiceRequest call, Progress progress) {
         return pool.choose(call.service().name(), progress.tried).isPresent();
     }
 
@@ -89,24 +91,24 @@
         return budgets.computeIfAbsent(call.service().name(), unused -> new RetryBudget());
     }
 
-    // The last failure may be a refused connection although an earlier attempt ran.
+    // The last failure may be a refused connection although an earlier attempt ran, so all attempts count here.
     private static void fail(Progress progress, AgatelaneException failure) {
         Executed executed = progress.maybeRan ? Executed.UNKNOWN : failure.executed();
         progress.result.completeExceptionally(failure.withExecuted(executed).withRetryAfterMillis(RETRY_AFTER_MILLIS));
     }
 
-    private static void noteFailure(Instance instance, Progress progress, AgatelaneException failure) {
+    private static void recordFailure(ServiceInstance instance, Progress progress, AgatelaneException failure) {
         progress.maybeRan |= failure.executed() != Executed.NO;
         if (failure.executed() == Executed.NO) {
-            instance.unreachable();
+            instance.markUnreachable();
         }
     }
 
-    private static boolean isUnavailable(Answer answer) {
-        return answer.status() >= BAD_GATEWAY && answer.status() <= GATEWAY_TIMEOUT;
+    private static boolean isUnavailable(Answer response) {
+        return response.status() >= BAD_GATEWAY && response.status() <= GATEWAY_TIMEOUT;
     }
 
-    /** State of one call; its attempts follow each other. */
+    /** State of one call; its attempts run one after another. */
     private static final class Progress {
         private final long deadlineMillis;
         private final Set<String> tried = new HashSet<>();
--- a/agatelane-node/src/main/java/io/agatelane/node/io/service/RequestBody.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/io/service/RequestBody.java
@@ -1,10 +1,10 @@
 package io.agatelane.node.io.service;
 
-/** Whole body of a caller's request. */
+/** Complete body of a caller's request. */
 final class RequestBody {
     private final byte[] bytes;
 
-    /** Takes over the array, which must not change afterwards. */
+    /** Wraps the array without a copy; it must not change afterwards. */
     RequestBody(byte[] bytes) {
         this.bytes = bytes;
     }
--- a/agatelane-node/src/main/java/io/agatelane/node/io/service/ServiceAttempt.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/io/service/ServiceAttempt.java
@@ -4,19 +4,19 @@
 import io.agatelane.core.booking.BookingKey;
 import io.agatelane.core.booking.Outcome;
 
-/** An attempt of this router; used on the control thread. */
-final class Attempt {
+/** An attempt of this router to run a booked call; used on the control thread only. */
+final class ServiceAttempt {
     final AttemptId id;
     final BookingKey key;
     final String requestDigest;
 
-    /** Null while the attempt may still send or is waiting for the answer of the service. */
+    /** Null while the attempt may still be sent or waits for the response of the service. */
     Outcome outcome;
 
-    /** Whether an owner may have written the claim. */
+    /** Whether a partition owner may have written the claim to the store. */
     boolean maybeClaimed;
 
-    Attempt(AttemptId id, BookingKey key, String requestDigest) {
+    ServiceAttempt(AttemptId id, BookingKey key, String requestDigest) {
         this.id = id;
         this.key = key;
         this.requestDigest = requestDigest;
--- a/agatelane-node/src/main/java/io/agatelane/node/io/service/ServiceClient.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/io/service/ServiceClient.java
@@ -29,15 +29,15 @@
  * HTTP calls to plain services.
  *
  * <p>Jetty's client sends a request a second time in these cases: after a redirect, after an authentication challenge,
- * and when a pooled connection turns out to be closed. The first two are switched off for all calls by taking the
- * protocol handlers out. Calls that may run at most once do not go through the pool, where the third happens: they open
- * a connection, send on exactly this connection and close it.
+ * and when a pooled connection turns out to be closed. The first two are switched off for all calls by removing the
+ * protocol handlers. The third happens only in the connection pool, which calls that may run at most once do not use:
+ * each of them opens a connection, sends on exactly this connection and closes it.
  */
 final class ServiceClient implements AutoCloseable {
     private static final int CONNECT_TIMEOUT_MILLIS = 1_000;
     private static final int MAX_CONNECTIONS = 512;
     private static final int MAX_THREADS = 16;
-    // Connections that the service may be about to close are not used for other calls either.
+    // Short, so that repeatable calls also avoid connections that the service may be about to close.
     private static final int POOL_IDLE_MILLIS = 2_000;
     private static final int MAX_RESPONSE_BYTES = 16 << 20;
 
@@ -65,7 +65,7 @@
         } catch (Exception e) {
             throw new AgatelaneException(FailureType.INTERNAL, "the HTTP client did not start", e);
         }
-        // The client fills these in when it starts.
+        // The client installs its default handlers and decoders when it starts, so they are removed only now.
         client.getProtocolHandlers().clear();
         client.getProtocolHandlers().put(new ContinueProtocolHandler());
         client.getContentDecoderFactories().clear();
@@ -80,12 +80,12 @@
         }
     }
 
-    /** Sends a GET request. */
+    /** Sends a GET request on a pooled connection. */
     CompletableFuture<Answer> get(String baseUrl, String target, Map<String, String> headers, long timeoutMillis) {
         return send(request("GET", baseUrl, target, headers, new byte[0], timeoutMillis), null, timeoutMillis);
     }
 
-    /** Sends a repeatable call on a connection of the pool. */
+    /** Sends a repeatable call on a pooled connection. */
     CompletableFuture<Answer> call(String baseUrl, ServiceRequest call, long timeoutMillis) {
         Request request = request(
                 call.operation().method(),
@@ -98,15 +98,15 @@
     }
 
     /**
-     * Opens a connection for one call that may run at most once. The future fails with {@code NO_UPSTREAM} when there
-     * is no connection; nothing was sent then.
+     * Opens a connection for one call that may run at most once. The future fails with {@code NO_UPSTREAM} when the
+     * connection cannot be opened; in this case nothing was sent.
      */
     CompletableFuture<Connection> connect(String baseUrl) {
-        Request any = client.newRequest(URI.create(baseUrl));
-        return client.resolveDestination(any)
+        Request destinationRequest = client.newRequest(URI.create(baseUrl));
+        return client.resolveDestination(destinationRequest)
                 .newConnection()
                 .exceptionallyCompose(failure -> CompletableFuture.failedFuture(
-                        new AgatelaneException(FailureType.NO_UPSTREAM, "no connection: " + failure, failure)
+                        new AgatelaneException(FailureType.NO_UPSTREAM, "cannot connect: " + failure, failure)
                                 .withLocation(baseUrl)));
     }
 
@@ -120,7 +120,7 @@
                 call.body().bytes(),
                 timeoutMillis);
         request.headers(fields -> fields.put(HttpHeader.CONNECTION, "close"));
-        return send(request, connection, timeoutMillis).whenComplete((answer, failure) -> connection.close());
+        return send(request, connection, timeoutMillis).whenComplete((response, failure) -> connection.close());
     }
 
     private Request request(
@@ -131,7 +131,8 @@
             byte[] body,
             long timeoutMillis) {
         Request request = client.newRequest(uri(baseUrl, target)).method(method);
-        // The connection's own idle time is short; while a call runs, only its timeout counts.
+        // The idle timeout of pooled connections is short. It must not end a running call, so the call's own timeout
+        // applies first.
         request.idleTimeout(timeoutMillis + POOL_IDLE_MILLIS, TimeUnit.MILLISECONDS);
         request.headers(fields -> headers.forEach(fields::put));
         if (body.length > 0) {
@@ -154,9 +155,9 @@
             public void onComplete(Result exchange) {
                 timer.cancel();
                 if (exchange.isSucceeded()) {
-                    result.complete(answer(exchange.getResponse(), getContent()));
+                    result.complete(toResponse(exchange.getResponse(), getContent()));
                 } else {
-                    result.completeExceptionally(failure(request, exchange.getFailure()));
+                    result.completeExceptionally(toException(request, exchange.getFailure()));
                 }
             }
         };
@@ -168,28 +169,28 @@
             }
         } catch (RuntimeException e) {
             timer.cancel();
-            result.completeExceptionally(failure(request, e));
+            result.completeExceptionally(toException(request, e));
         }
         return result;
     }
 
     private static void abort(Request request) {
-        CompletableFuture<Boolean> unused = request.abort(new TimeoutException("no answer in time"));
+        CompletableFuture<Boolean> unused = request.abort(new TimeoutException("no response in time"));
     }
 
-    private static Answer answer(Response response, byte[] content) {
+    private static Answer toResponse(Response response, byte[] content) {
         String contentType = response.getHeaders().get(HttpHeader.CONTENT_TYPE);
         return new Answer(
                 response.getStatus(), contentType == null ? "" : contentType, content == null ? new byte[0] : content);
     }
 
-    private static AgatelaneException failure(Request request, Throwable cause) {
+    private static AgatelaneException toException(Request request, Throwable cause) {
         FailureType type =
                 cause instanceof TimeoutException ? FailureType.UPSTREAM_TIMEOUT : FailureType.UPSTREAM_FAILED;
         String detail = type == FailureType.UPSTREAM_TIMEOUT
-                ? "the service gave no answer in time"
-                : "the service gave no whole answer: " + cause;
-        // Both are thrown only while the connection is being established.
+                ? "the service did not respond in time"
+                : "the service did not complete its response: " + cause;
+        // Both exceptions are thrown only while the connection is being established, so the call did not run.
         boolean notConnected = cause instanceof ConnectException || cause instanceof SocketTimeoutException;
         Executed executed = notConnected ? Executed.NO : Executed.UNKNOWN;
         return new AgatelaneException(type, detail, cause)
--- a/agatelane-node/src/main/java/io/agatelane/node/io/service/ServiceHandler.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/io/service/ServiceHandler.java
@@ -38,8 +38,9 @@
     private static final int MAX_REQUEST_ID_LENGTH = 128;
     private static final long RETRY_AFTER_MILLIS = 1_000;
 
-    // The API key is for this router only; the others describe one connection or are set by the client.
-    private static final Set<String> NOT_PASSED_ON = Set.of(
+    // Headers that are not forwarded to services. The API key is meant for this router only; the others describe one
+    // connection or are set by the HTTP client.
+    private static final Set<String> UNFORWARDED_HEADERS = Set.of(
             "authorization",
             "proxy-authorization",
             "host",
@@ -60,8 +61,8 @@
     private final Authenticator authenticator;
     private final RepeatableCalls repeatable;
     private final BookedCalls booked;
-    private final AtomicInteger running = new AtomicInteger();
-    private final AtomicLong nextRequest = new AtomicLong();
+    private final AtomicInteger runningRequests = new AtomicInteger();
+    private final AtomicLong requestCounter = new AtomicLong();
     private volatile boolean refusing;
     private volatile Runnable onIdle = () -> {};
 
@@ -86,9 +87,9 @@
         refusing = true;
     }
 
-    /** Number of requests without a complete response. */
-    int running() {
-        return running.get();
+    /** Returns the number of requests whose response is not complete. */
+    int runningRequests() {
+        return runningRequests.get();
     }
 
     @Override
@@ -97,17 +98,17 @@
         if (path == null || !path.startsWith(PREFIX)) {
             return false;
         }
-        // Counted before the check, so that a request is either refused or waited for.
-        running.incrementAndGet();
-        Callback counted = Callback.from(callback, this::ended);
+        // Counted before the check for a shutdown, so that each request is either refused or waited for by the drain.
+        runningRequests.incrementAndGet();
+        Callback counted = Callback.from(callback, this::requestEnded);
         String requestId = requestId(request);
-        CompletableFuture<Answer> answer;
+        CompletableFuture<Answer> serviceResponse;
         try {
-            answer = accept(request, path.substring(PREFIX.length()), requestId);
+            serviceResponse = accept(request, path.substring(PREFIX.length()), requestId);
         } catch (RuntimeException e) {
-            answer = CompletableFuture.failedFuture(e);
+            serviceResponse = CompletableFuture.failedFuture(e);
         }
-        Completion.then(answer, (result, failure) -> {
+        Completion.then(serviceResponse, (result, failure) -> {
             if (failure == null) {
                 write(response, counted, result, requestId);
             } else {
@@ -117,8 +118,8 @@
         return true;
     }
 
-    private void ended() {
-        if (running.decrementAndGet() == 0 && refusing) {
+    private void requestEnded() {
+        if (runningRequests.decrementAndGet() == 0 && refusing) {
             onIdle.run();
         }
     }
@@ -131,20 +132,22 @@
         ClientAccount account = authenticator.authenticate(request);
         int slash = path.indexOf('/');
         String prefix = slash < 0 ? path : path.substring(0, slash);
-        String rest = slash < 0 ? "/" : path.substring(slash);
+        String pathBelowPrefix = slash < 0 ? "/" : path.substring(slash);
         Service service = config.current()
                 .serviceByPathPrefix(prefix)
-                .orElseThrow(() -> new AgatelaneException(FailureType.NOT_FOUND, "no service at " + PREFIX + prefix));
-        Operation operation = operation(service, request.getMethod(), rest)
+                .orElseThrow(() ->
+                        new AgatelaneException(FailureType.NOT_FOUND, "no service has the path " + PREFIX + prefix));
+        Operation operation = operation(service, request.getMethod(), pathBelowPrefix)
                 .orElseThrow(() -> new AgatelaneException(
                         FailureType.NOT_FOUND,
-                        "no operation " + request.getMethod() + " " + rest + " of service " + service.name()));
+                        "no operation " + request.getMethod() + " " + pathBelowPrefix + " of service "
+                                + service.name()));
         String key = request.getHeaders().get(IDEMPOTENCY_KEY);
-        checkKey(operation, key);
-        String target = target(request, PREFIX + prefix);
+        checkIdempotencyKey(operation, key);
+        String target = forwardedTarget(request, PREFIX + prefix);
         return BodyReader.read(request, context.settings().maxBodyBytes())
                 .thenApply(RequestBody::new)
-                .thenCompose(body -> run(new ServiceRequest(
+                .thenCompose(body -> dispatch(new ServiceRequest(
                         requestId,
                         account.name(),
                         service,
@@ -155,21 +158,21 @@
                         body)));
     }
 
-    // The operation is found by the canonical path and the path is passed on as it came. Both must name the same thing,
-    // so paths with dot segments, parameters or an encoded prefix are refused.
-    private static String target(Request request, String prefix) {
+    // The operation is found by the canonical path, but the path is forwarded as received. Both must denote the same
+    // resource, so paths with dot segments, parameters or an encoded prefix are refused.
+    private static String forwardedTarget(Request request, String prefix) {
         String path = request.getHttpURI().getPath();
-        String rest = path.startsWith(prefix) ? path.substring(prefix.length()) : "";
-        boolean plain = path.startsWith(prefix)
-                && (rest.isEmpty() || rest.startsWith("/"))
-                && rest.indexOf(';') < 0
-                && !rest.contains("/./")
-                && !rest.contains("/../")
-                && !rest.endsWith("/.")
-                && !rest.endsWith("/..");
+        String pathBelowPrefix = path.startsWith(prefix) ? path.substring(prefix.length()) : "";
+        boolean canonical = path.startsWith(prefix)
+                && (pathBelowPrefix.isEmpty() || pathBelowPrefix.startsWith("/"))
+                && pathBelowPrefix.indexOf(';') < 0
+                && !pathBelowPrefix.contains("/./")
+                && !pathBelowPrefix.contains("/../")
+                && !pathBelowPrefix.endsWith("/.")
+                && !pathBelowPrefix.endsWith("/..");
         String query = request.getHttpURI().getQuery();
-        String target = (rest.isEmpty() ? "/" : rest) + (query == null ? "" : "?" + query);
-        if (!plain || !isUri(target)) {
+        String target = (pathBelowPrefix.isEmpty() ? "/" : pathBelowPrefix) + (query == null ? "" : "?" + query);
+        if (!canonical || !isUri(target)) {
             throw new AgatelaneException(FailureType.MALFORMED_REQUEST, "the path or the query is malformed");
         }
         return target;
@@ -188,7 +191,7 @@
         return service.operation(method, path).or(() -> service.operation(method, path.substring(1)));
     }
 
-    private CompletableFuture<Answer> run(ServiceRequest call) {
+    private CompletableFuture<Answer> dispatch(ServiceRequest call) {
         if (call.operation().repeatable()) {
             context.metrics().counter("services.calls.repeatable").inc();
             return repeatable.run(call);
@@ -197,7 +200,7 @@
         return booked.run(call);
     }
 
-    private static void checkKey(Operation operation, String key) {
+    private static void checkIdempotencyKey(Operation operation, String key) {
         if (key == null || key.isBlank()) {
             if (!operation.repeatable()) {
                 throw new AgatelaneException(
@@ -212,7 +215,7 @@
     private static Map<String, String> headers(Request request, String requestId) {
         Map<String, String> headers = new TreeMap<>(String.CASE_INSENSITIVE_ORDER);
         for (HttpField field : request.getHeaders()) {
-            if (!NOT_PASSED_ON.contains(field.getLowerCaseName())) {
+            if (!UNFORWARDED_HEADERS.contains(field.getLowerCaseName())) {
                 headers.merge(field.getName(), String.valueOf(field.getValue()), (a, b) -> a + ", " + b);
             }
         }
@@ -221,24 +224,26 @@
     }
 
     private String requestId(Request request) {
-        String given = request.getHeaders().get(REQUEST_ID);
-        if (given != null && !given.isBlank() && given.length() <= MAX_REQUEST_ID_LENGTH) {
-            return given;
+        String callerRequestId = request.getHeaders().get(REQUEST_ID);
+        if (callerRequestId != null
+                && !callerRequestId.isBlank()
+                && callerRequestId.length() <= MAX_REQUEST_ID_LENGTH) {
+            return callerRequestId;
         }
         return String.format(
                 Locale.ROOT,
                 "%s-%x-%d",
                 context.settings().vmName(),
                 context.incarnation(),
-                nextRequest.incrementAndGet());
+                requestCounter.incrementAndGet());
     }
 
-    private static void write(Response response, Callback callback, Answer answer, String requestId) {
-        response.setStatus(answer.status());
-        if (!answer.contentType().isEmpty()) {
-            response.getHeaders().put(HttpHeader.CONTENT_TYPE, answer.contentType());
+    private static void write(Response response, Callback callback, Answer serviceResponse, String requestId) {
+        response.setStatus(serviceResponse.status());
+        if (!serviceResponse.contentType().isEmpty()) {
+            response.getHeaders().put(HttpHeader.CONTENT_TYPE, serviceResponse.contentType());
         }
         response.getHeaders().put(REQUEST_ID, requestId);
-        response.write(true, ByteBuffer.wrap(answer.body()), callback);
+        response.write(true, ByteBuffer.wrap(serviceResponse.body()), callback);
     }
 }
--- a/agatelane-node/src/main/java/io/agatelane/node/io/service/ServiceInstance.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/io/service/ServiceInstance.java
@@ -2,38 +2,38 @@
 
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** What this router knows about an instance of a plain service. Safe on every thread. */
-final class Instance {
+/** Load and reachability of an instance of a plain service, as seen by this router. Thread-safe. */
+final class ServiceInstance {
     private static final int FAILED_REPORTS_UNTIL_DEAD = 2;
 
     final String name;
     final String baseUrl;
-    final AtomicInteger outstanding = new AtomicInteger();
+    final AtomicInteger outstandingCalls = new AtomicInteger();
     private volatile Report report = new Report(0, 0, 0, false);
     private final AtomicInteger failedReports = new AtomicInteger();
 
-    Instance(String name, String baseUrl) {
+    ServiceInstance(String name, String baseUrl) {
         this.name = name;
         this.baseUrl = baseUrl;
     }
 
     /**
-     * Takes a load report.
+     * Records a load report; the instance counts as alive again.
      *
-     * @param outstandingAtReport calls of this router that the report already counts
+     * @param outstandingAtReport outstanding calls of this router that the report already includes
      */
-    void reported(int running, int waiting, int outstandingAtReport, boolean draining) {
+    void recordReport(int running, int waiting, int outstandingAtReport, boolean draining) {
         report = new Report(running, waiting, outstandingAtReport, draining);
         failedReports.set(0);
     }
 
-    /** The instance gave no report, or was not reachable for a report. */
-    void reportFailed() {
+    /** Records that the instance sent no load report or was not reachable. */
+    void recordReportFailure() {
         failedReports.incrementAndGet();
     }
 
-    /** The instance refused a connection. It gets no call until it reports again. */
-    void unreachable() {
+    /** Records a refused connection: the instance counts as dead until its next load report. */
+    void markUnreachable() {
         failedReports.set(FAILED_REPORTS_UNTIL_DEAD);
     }
 
@@ -45,11 +45,14 @@
         return report.draining;
     }
 
-    /** Calls at the instance: those of its report, corrected by what this router sent and saw finish since. */
-    double calls() {
+    /**
+     * Estimates the calls at the instance: those of its last report, corrected by the calls of this router that began or
+     * ended since.
+     */
+    double estimatedCalls() {
         Report last = report;
-        int sent = outstanding.get();
-        return Math.max(sent, last.running + last.waiting + sent - last.outstandingAtReport);
+        int outstandingNow = outstandingCalls.get();
+        return Math.max(outstandingNow, last.running + last.waiting + outstandingNow - last.outstandingAtReport);
     }
 
     private record Report(int running, int waiting, int outstandingAtReport, boolean draining) {}
--- a/agatelane-node/src/main/java/io/agatelane/node/io/service/ServiceRequest.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/io/service/ServiceRequest.java
@@ -5,10 +5,10 @@
 import java.util.Map;
 
 /**
- * A caller's call of a plain service.
+ * A caller's call of a plain service, matched to its service and operation.
  *
- * @param target path below the service's prefix, with the query
- * @param headers headers that are passed on to the service
+ * @param target path below the service's prefix, with the query string
+ * @param headers headers that are forwarded to the service
  * @param idempotencyKey empty when the caller sent none
  */
 record ServiceRequest(
--- a/agatelane-node/src/main/java/io/agatelane/node/io/service/ServiceTraffic.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/io/service/ServiceTraffic.java
@@ -19,7 +19,7 @@
 import java.util.concurrent.CompletableFuture;
 import org.eclipse.jetty.server.Handler;
 
-/** Callers' calls of plain services: forwarding of repeatable calls, and bookings for calls that run at most once. */
+/** Serves callers' calls of plain services: forwards repeatable calls, and books calls that run at most once. */
 public final class ServiceTraffic implements Drainable, AutoCloseable {
     private static final long STATUS_TIMEOUT_MILLIS = 2_000;
 
@@ -31,7 +31,7 @@
     private final NodeContext context;
     private final List<CompletableFuture<Void>> drainWaiters = new ArrayList<>();
 
-    /** Creates the parts and their links; nothing runs before {@link #start}. */
+    /** Creates and connects the components; nothing runs before {@link #start}. */
     public ServiceTraffic(
             NodeContext context,
             ConfigView config,
@@ -42,7 +42,7 @@
         this.context = context;
         this.client = new ServiceClient(context);
         this.pool = new InstancePool(context, config, client);
-        this.owner = new BookingOwner(context, config, membership, peers, new PartitionStore(store), this::statusCall);
+        this.owner = new BookingOwner(context, config, membership, peers, new PartitionStore(store), this::queryStatus);
         this.bookings = new BookingClient(context, membership, peers);
         BookedCalls booked = new BookedCalls(context, new HttpInstanceCalls(pool, client), bookings);
         RepeatableCalls repeatable = new RepeatableCalls(context, pool, client);
@@ -51,7 +51,7 @@
         this.bookings.onRecorded(this::checkDrained);
     }
 
-    /** Starts the HTTP client, answers other routers and reads the partitions that this router owns. */
+    /** Starts the HTTP client, responds to other routers and reads the partitions that this router owns. */
     public void start() {
         client.start();
         bookings.start();
@@ -59,7 +59,7 @@
         pool.start();
     }
 
-    /** Handles requests below {@code /services/} and leaves all others alone. */
+    /** Returns the handler of requests below {@code /services/}; it leaves all others to other handlers. */
     public Handler handler() {
         return handler;
     }
@@ -88,16 +88,17 @@
 
     private void checkDrained() {
         context.control().execute(() -> {
-            if (handler.running() == 0 && bookings.unrecorded() == 0) {
+            if (handler.runningRequests() == 0 && bookings.unrecordedCount() == 0) {
                 drainWaiters.forEach(waiter -> waiter.complete(null));
                 drainWaiters.clear();
             }
         });
     }
 
-    // Tells whether the call with this key ran. Only a success is proof; a call that is not known may still arrive.
-    private CompletableFuture<Optional<Answer>> statusCall(Service service, String idempotencyKey) {
-        Optional<Instance> instance = pool.choose(service.name(), Set.of());
+    // Queries whether the call with this key ran. Only a successful response proves it, since a call that the service
+    // does not know may still arrive.
+    private CompletableFuture<Optional<Answer>> queryStatus(Service service, String idempotencyKey) {
+        Optional<ServiceInstance> instance = pool.choose(service.name(), Set.of());
         if (instance.isEmpty()) {
             return CompletableFuture.completedFuture(Optional.empty());
         }
@@ -108,6 +109,6 @@
                                 .replace("+", "%20"));
         Map<String, String> headers = Map.of("Idempotency-Key", idempotencyKey);
         return client.get(instance.get().baseUrl, target, headers, STATUS_TIMEOUT_MILLIS)
-                .thenApply(answer -> answer.status() / 100 == 2 ? Optional.of(answer) : Optional.<Answer>empty());
+                .thenApply(response -> response.status() / 100 == 2 ? Optional.of(response) : Optional.<Answer>empty());
     }
 }
--- a/agatelane-node/src/test/java/io/agatelane/node/io/service/BookingInterleavingTest.java
+++ b/agatelane-node/src/test/java/io/agatelane/node/io/service/BookingInterleavingTest.java
@@ -12,27 +12,27 @@
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.Test;
 
-/** Random interleavings of retries and faults. The system property {@code booking.seeds} sets their number. */
+/** Runs random interleavings of retries and faults. The system property {@code booking.seeds} sets their number. */
 public class BookingInterleavingTest {
     private static final long FIRST_SEED = 20_260_101;
     private static final int SEEDS = Integer.getInteger("booking.seeds", 150);
 
-    // One line for each decision of thousands of bookings would hide the result.
+    // The log lines of thousands of booking decisions would hide the result.
     private final Logger logger = Logger.getLogger("io.agatelane.node.io.service");
 
     @BeforeClass
-    public void quiet() {
+    public void suppressInfoLogs() {
         logger.setLevel(Level.WARNING);
     }
 
     @AfterClass(alwaysRun = true)
-    public void restore() {
+    public void restoreLogLevel() {
         logger.setLevel(null);
     }
 
-    /** Guards against a second run of a booking, a false "not run", and an answer that differs or is lost. */
+    /** Guards against a booking that runs twice, a false "not run", and a response that differs or is lost. */
     @Test
-    public void promisesHoldUnderFaults() {
+    public void guaranteesHoldUnderFaults() {
         List<String> violations = new ArrayList<>();
         Map<String, Integer> replies = new TreeMap<>();
         for (int i = 0; i < SEEDS; i++) {
@@ -46,16 +46,16 @@
         assertTrue(violations.isEmpty(), String.join("\n", violations));
     }
 
-    /** Guards against a check that cannot fail: a proxy without claims must be found out. */
+    /** Guards against a check that cannot fail: it must detect the second runs of a proxy without claims. */
     @Test
-    public void naiveProxyIsFoundOut() {
-        int found = 0;
+    public void naiveProxyIsDetected() {
+        int detected = 0;
         for (int i = 0; i < SEEDS; i++) {
             boolean ranTwice = new BookingScenario(FIRST_SEED + i, new NaiveProxy())
                     .run().stream().anyMatch(text -> text.startsWith("ran "));
-            found += ranTwice ? 1 : 0;
+            detected += ranTwice ? 1 : 0;
         }
-        System.out.println("naive proxy: a booking ran twice with " + found + " of " + SEEDS + " seeds");
-        assertTrue(found > SEEDS / 2, "seeds with a second run: " + found);
+        System.out.println("naive proxy: a booking ran twice with " + detected + " of " + SEEDS + " seeds");
+        assertTrue(detected > SEEDS / 2, "seeds with a second run: " + detected);
     }
 }
--- a/agatelane-node/src/test/java/io/agatelane/node/io/service/BookingRouter.java
+++ b/agatelane-node/src/test/java/io/agatelane/node/io/service/BookingRouter.java
@@ -20,7 +20,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.function.Function;
 
-/** The booking parts of one router over fakes; a test can pause or kill it. */
+/** The booking components of one router on fakes; a test can pause or kill it. */
 final class BookingRouter {
     static final Operation RENEW = new Operation("POST", "/renewals", false);
     static final Service SERVICE = new Service("permits", "permits", List.of(RENEW), "/status/{key}", 5_000);
@@ -31,7 +31,7 @@
     private final BookingOwner owner;
     private final BookingClient client;
     private final Function<ServiceRequest, CompletableFuture<Answer>> calls;
-    private final Map<String, CompletableFuture<Answer>> callers = new HashMap<>();
+    private final Map<String, CompletableFuture<Answer>> pendingCalls = new HashMap<>();
 
     BookingRouter(
             String name,
@@ -57,20 +57,20 @@
         owner.start();
     }
 
-    /** A call of a caller. */
+    /** Returns a booked call with the given request id and idempotency key. */
     static ServiceRequest request(String requestId, String key) {
         return new ServiceRequest(
                 requestId, "aargau", SERVICE, RENEW, "/renewals", Map.of(), key, new RequestBody(new byte[] {1}));
     }
 
-    /** Runs a call; it fails at once when the router is killed. */
+    /** Runs a call, which fails at once when the router is killed. */
     CompletableFuture<Answer> call(ServiceRequest request) {
         CompletableFuture<Answer> result = new CompletableFuture<>();
-        callers.put(request.requestId(), result);
-        Completion.then(calls.apply(request), (answer, failure) -> {
-            callers.remove(request.requestId());
+        pendingCalls.put(request.requestId(), result);
+        Completion.then(calls.apply(request), (response, failure) -> {
+            pendingCalls.remove(request.requestId());
             if (failure == null) {
-                result.complete(answer);
+                result.complete(response);
             } else {
                 result.completeExceptionally(failure);
             }
@@ -78,19 +78,19 @@
         return result;
     }
 
-    int unrecorded() {
-        return client.unrecorded();
+    int unrecordedCount() {
+        return client.unrecordedCount();
     }
 
     void kill() {
         control.kill();
         owner.stop();
-        List.copyOf(callers.values())
-                .forEach(caller -> caller.completeExceptionally(new IllegalStateException("killed")));
-        callers.clear();
+        List.copyOf(pendingCalls.values())
+                .forEach(pendingCall -> pendingCall.completeExceptionally(new IllegalStateException("killed")));
+        pendingCalls.clear();
     }
 
-    /** Runs handlers on this router's control thread, so that a paused router answers nobody. */
+    /** Runs handlers on this router's control thread, so that a paused router does not respond to any request. */
     private final class ControlledPeers implements PeerTransport {
         private final PeerTransport inner;
 
--- a/agatelane-node/src/test/java/io/agatelane/node/io/service/BookingScenario.java
+++ b/agatelane-node/src/test/java/io/agatelane/node/io/service/BookingScenario.java
@@ -21,33 +21,33 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * One random interleaving of callers that retry at once and of faults, checked against the promises of bookings. All
- * choices come from the seed.
+ * One random interleaving of faults and of callers that retry at the same time, checked against the guarantees of
+ * bookings. All random choices depend only on the seed.
  */
 final class BookingScenario {
     private static final int ROUTERS = 3;
     private static final int KEYS = 8;
-    private static final int MAX_TRIES = 40;
-    // Short ones, ones that fill a segment, and ones that are stored apart.
-    private static final int[] ANSWER_BYTES = {20, 20, 15_000, 20_000};
+    private static final int MAX_ATTEMPTS = 40;
+    // Short responses, responses that fill a segment, and responses that are stored under a key of their own.
+    private static final int[] RESPONSE_BYTES = {20, 20, 15_000, 20_000};
     private static final long FAULTS_END_MILLIS = 25_000;
-    private static final long LONGEST_WAIT_MILLIS = 60_000;
+    private static final long MAX_WAIT_MILLIS = 60_000;
     private static final long END_MILLIS = 120_000;
 
-    /** How often callers got each kind of answer. */
+    /** Number of replies to callers by kind. */
     final Map<String, Integer> replies = new TreeMap<>();
 
     final List<String> violations = new ArrayList<>();
     final FakeControl control = new FakeControl();
     final FakeKeyValueStore store = new FakeKeyValueStore(control);
     final FakePermits permits;
-    private final UnsureStore unsureStore;
+    private final UncertainStore uncertainStore;
     private final UniformRandomProvider random;
     private final FakePeerNetwork network = new FakePeerNetwork(control);
     private final Map<String, BookingRouter> routers = new TreeMap<>();
     private final Map<String, String> lastReplies = new TreeMap<>();
-    private boolean calm;
-    private final Map<String, Answer> finalAnswers = new TreeMap<>();
+    private boolean faultFree;
+    private final Map<String, Answer> finalResponses = new TreeMap<>();
     private final BiFunction<BookingRouter, ServiceRequest, CompletableFuture<Answer>> calls;
     private final List<String> keys = keysOfOnePartition();
     private long nextIncarnation = 1;
@@ -65,19 +65,19 @@
     private BookingScenario(long seed, BiFunction<BookingRouter, ServiceRequest, CompletableFuture<Answer>> calls) {
         this.random = RandomSource.XO_SHI_RO_256_PP.create(seed);
         this.permits = new FakePermits(control, RandomSource.XO_SHI_RO_256_PP.create(~seed));
-        this.unsureStore = new UnsureStore(store, control, RandomSource.XO_SHI_RO_256_PP.create(seed ^ 1));
+        this.uncertainStore = new UncertainStore(store, control, RandomSource.XO_SHI_RO_256_PP.create(seed ^ 1));
         this.calls = calls;
         store.setLatencyMillis(4);
     }
 
-    /** Runs the scenario and returns what went wrong. */
+    /** Runs the scenario and returns the violations of the guarantees. */
     List<String> run() {
         for (int i = 0; i < ROUTERS; i++) {
             start("vm-" + i);
         }
         permits.faultPercent = random.nextInt(4) * 5;
-        unsureStore.unsurePercent = random.nextInt(3) * 5;
-        permits.answerBytes = ANSWER_BYTES[random.nextInt(ANSWER_BYTES.length)];
+        uncertainStore.uncertainPercent = random.nextInt(3) * 5;
+        permits.responseBytes = RESPONSE_BYTES[random.nextInt(RESPONSE_BYTES.length)];
         for (String key : keys) {
             long startMillis = random.nextInt((int) FAULTS_END_MILLIS);
             int duplicates = 1 + random.nextInt(2);
@@ -86,18 +86,18 @@
             }
         }
         int faults = random.nextInt(16);
-        calm = faults == 0 && permits.faultPercent == 0 && unsureStore.unsurePercent == 0;
+        faultFree = faults == 0 && permits.faultPercent == 0 && uncertainStore.uncertainPercent == 0;
         for (int i = 0; i < faults; i++) {
-            control.after(random.nextInt((int) FAULTS_END_MILLIS), this::fault);
+            control.after(random.nextInt((int) FAULTS_END_MILLIS), this::injectFault);
         }
         control.advance(FAULTS_END_MILLIS);
-        heal();
+        endFaults();
         control.advance(END_MILLIS);
-        checkEnd();
+        checkGuarantees();
         return violations;
     }
 
-    // Keys of one partition share its commits, its segments and its owner.
+    // All keys are in one partition, so they share its commits, its segments and its owner.
     private static List<String> keysOfOnePartition() {
         return Stream.iterate(0, i -> i + 1)
                 .map(i -> "key-" + i)
@@ -114,49 +114,50 @@
                 .filter(router -> !router.name.equals(name))
                 .forEach(router -> router.membership.put(name, MemberState.ALIVE, 1));
         routers.put(
-                name, new BookingRouter(name, nextIncarnation++, control, network, unsureStore, permits, membership));
+                name,
+                new BookingRouter(name, nextIncarnation++, control, network, uncertainStore, permits, membership));
     }
 
-    private void send(String key, int tries) {
+    private void send(String key, int attempt) {
         List<BookingRouter> alive = routers.values().stream()
                 .filter(router -> !router.control.isDead())
                 .toList();
         if (alive.isEmpty()) {
-            control.after(200, () -> send(key, tries));
+            control.after(200, () -> send(key, attempt));
             return;
         }
         BookingRouter router = alive.get(random.nextInt(alive.size()));
         String requestId = "r" + nextRequest++;
-        CompletableFuture<Answer> answer = calls.apply(router, BookingRouter.request(requestId, key));
-        // A caller with a broken connection does not wait for the answer.
-        boolean impatient = random.nextInt(6) == 0;
-        long patienceMillis = impatient ? 5 + random.nextInt(100) : LONGEST_WAIT_MILLIS;
-        CompletableFuture<Answer> seen = new CompletableFuture<>();
-        Completion.then(answer, (value, failure) -> {
+        CompletableFuture<Answer> response = calls.apply(router, BookingRouter.request(requestId, key));
+        // A caller whose connection breaks does not wait for the response.
+        boolean disconnects = random.nextInt(6) == 0;
+        long callerTimeoutMillis = disconnects ? 5 + random.nextInt(100) : MAX_WAIT_MILLIS;
+        CompletableFuture<Answer> callerResult = new CompletableFuture<>();
+        Completion.then(response, (value, failure) -> {
             if (failure != null) {
-                seen.completeExceptionally(failure);
+                callerResult.completeExceptionally(failure);
             } else {
-                seen.complete(value);
+                callerResult.complete(value);
             }
         });
-        control.after(patienceMillis, () -> {
-            boolean gaveUp = seen.completeExceptionally(new IllegalStateException("gave up"));
-            if (gaveUp && !impatient) {
+        control.after(callerTimeoutMillis, () -> {
+            boolean timedOut = callerResult.completeExceptionally(new IllegalStateException("the caller timed out"));
+            if (timedOut && !disconnects) {
                 violations.add("no response to " + requestId + " for " + key);
             }
         });
-        Completion.then(seen, (value, failure) -> answered(key, requestId, tries, value, failure));
+        Completion.then(callerResult, (value, failure) -> callEnded(key, requestId, attempt, value, failure));
     }
 
-    private void answered(String key, String requestId, int tries, Answer answer, Throwable failure) {
+    private void callEnded(String key, String requestId, int attempt, Answer response, Throwable failure) {
         if (failure == null) {
-            note(key, "answer");
-            checkAnswer(key, answer);
+            recordReply(key, "answer");
+            checkResponse(key, response);
             return;
         }
         AgatelaneException typed = AgatelaneException.from(failure);
-        note(key, typed.type() + " " + typed.executed());
-        if (calm && typed.type() != FailureType.INTERNAL) {
+        recordReply(key, typed.type() + " " + typed.executed());
+        if (faultFree && typed.type() != FailureType.INTERNAL) {
             violations.add("refused without a fault: " + typed.type());
         }
         if (typed.type() != FailureType.INTERNAL && typed.executed() == Executed.NO) {
@@ -169,23 +170,23 @@
             }
             control.after(20_000, () -> checkNeverRan(requestId));
         }
-        if (tries < MAX_TRIES) {
-            control.after(random.nextInt(3) * 700L, () -> send(key, tries + 1));
+        if (attempt < MAX_ATTEMPTS) {
+            control.after(random.nextInt(3) * 700L, () -> send(key, attempt + 1));
         }
     }
 
-    private void note(String key, String reply) {
+    private void recordReply(String key, String reply) {
         replies.merge(reply, 1, Integer::sum);
         if (!reply.startsWith("INTERNAL")) {
             lastReplies.put(key, reply);
         }
     }
 
-    private void checkAnswer(String key, Answer answer) {
-        if (!answer.equals(permits.answers.get(key))) {
-            violations.add("another answer than that of the service: " + key);
+    private void checkResponse(String key, Answer response) {
+        if (!response.equals(permits.responses.get(key))) {
+            violations.add("response differs from that of the service: " + key);
         }
-        finalAnswers.putIfAbsent(key, answer);
+        finalResponses.putIfAbsent(key, response);
     }
 
     private void checkNeverRan(String requestId) {
@@ -194,17 +195,17 @@
         }
     }
 
-    private void fault() {
-        List<BookingRouter> all = List.copyOf(routers.values());
-        BookingRouter router = all.get(random.nextInt(all.size()));
-        BookingRouter other = all.get(random.nextInt(all.size()));
+    private void injectFault() {
+        List<BookingRouter> allRouters = List.copyOf(routers.values());
+        BookingRouter router = allRouters.get(random.nextInt(allRouters.size()));
+        BookingRouter other = allRouters.get(random.nextInt(allRouters.size()));
         long durationMillis = 50L + random.nextInt(8_000);
         switch (random.nextInt(7)) {
             case 0 -> killAndRestart(router, durationMillis);
             case 1 -> {
                 router.control.pause();
                 control.after(durationMillis, router.control::resume);
-                suspect(router, durationMillis);
+                suspectFalsely(router, durationMillis);
             }
             case 2 -> {
                 store.setOutage(true);
@@ -220,7 +221,7 @@
                 store.setOutage(true);
                 control.after(durationMillis, () -> store.setOutage(false));
             }
-            default -> suspect(router, durationMillis);
+            default -> suspectFalsely(router, durationMillis);
         }
     }
 
@@ -232,32 +233,32 @@
         network.detach(router.name);
         control.after(Math.min(downMillis, 4_000), () -> {
             if (routers.get(router.name) == router) {
-                view(router.name, MemberState.DEAD);
+                setStateAtOthers(router.name, MemberState.DEAD);
             }
         });
         control.after(downMillis, () -> start(router.name));
     }
 
-    // Some routers take the router for dead although it is not, so that two routers act as owner.
-    private void suspect(BookingRouter router, long durationMillis) {
-        BookingRouter believer = List.copyOf(routers.values()).get(random.nextInt(routers.size()));
-        if (believer != router) {
-            believer.membership.put(router.name, MemberState.DEAD, 1);
-            control.after(durationMillis, () -> believer.membership.put(router.name, MemberState.ALIVE, 2));
+    // Another router considers the router dead although it is alive, so that two routers act as the owner.
+    private void suspectFalsely(BookingRouter router, long durationMillis) {
+        BookingRouter observer = List.copyOf(routers.values()).get(random.nextInt(routers.size()));
+        if (observer != router) {
+            observer.membership.put(router.name, MemberState.DEAD, 1);
+            control.after(durationMillis, () -> observer.membership.put(router.name, MemberState.ALIVE, 2));
         }
     }
 
-    private void view(String name, MemberState state) {
+    private void setStateAtOthers(String name, MemberState state) {
         routers.values().stream()
                 .filter(router -> !router.name.equals(name))
                 .forEach(router -> router.membership.put(name, state, 1));
     }
 
-    private void heal() {
+    private void endFaults() {
         store.setOutage(false);
         store.loseReplies(0);
         permits.faultPercent = 0;
-        unsureStore.unsurePercent = 0;
+        uncertainStore.uncertainPercent = 0;
         for (String name : List.copyOf(routers.keySet())) {
             routers.keySet().forEach(other -> network.heal(name, other));
             BookingRouter router = routers.get(name);
@@ -265,14 +266,14 @@
                 start(name);
             }
             routers.get(name).control.resume();
-            view(name, MemberState.ALIVE);
+            setStateAtOthers(name, MemberState.ALIVE);
         }
         for (String key : keys) {
             control.after(30_000, () -> send(key, 1));
         }
     }
 
-    private void checkEnd() {
+    private void checkGuarantees() {
         for (String key : keys) {
             if (permits.runs(key) > 1) {
                 violations.add("ran " + permits.runs(key) + " times: " + key);
@@ -281,13 +282,13 @@
             if (!last.equals("answer") && !last.equals("OUTCOME_UNKNOWN UNKNOWN")) {
                 violations.add("not served after all faults ended: " + key + ": " + last);
             }
-            if (permits.runs(key) == 1 && !finalAnswers.containsKey(key)) {
-                violations.add("ran, but no caller got the answer: " + key);
+            if (permits.runs(key) == 1 && !finalResponses.containsKey(key)) {
+                violations.add("ran, but no caller got the response: " + key);
             }
         }
         for (BookingRouter router : routers.values()) {
-            if (router.unrecorded() > 0) {
-                violations.add("outcomes left without a record on " + router.name);
+            if (router.unrecordedCount() > 0) {
+                violations.add("outcomes are still unrecorded on " + router.name);
             }
         }
     }
--- a/agatelane-node/src/test/java/io/agatelane/node/io/service/FakePermits.java
+++ b/agatelane-node/src/test/java/io/agatelane/node/io/service/FakePermits.java
@@ -13,18 +13,18 @@
 import java.util.concurrent.CompletableFuture;
 import org.apache.commons.rng.UniformRandomProvider;
 
-/** A service in memory that counts how often each booking ran, and fails at random once a test says so. */
+/** A service in memory that counts how often each booking ran, and fails at random at the rate that a test sets. */
 final class FakePermits implements InstanceCalls {
-    private static final int HUNDRED = 100;
+    private static final int ONE_HUNDRED_PERCENT = 100;
 
     final Map<String, Integer> runs = new HashMap<>();
-    final Map<String, Answer> answers = new HashMap<>();
+    final Map<String, Answer> responses = new HashMap<>();
     final Set<String> executedRequests = new HashSet<>();
     int faultPercent;
-    int answerBytes = 20;
+    int responseBytes = 20;
     private final FakeControl control;
     private final UniformRandomProvider random;
-    private final Instance instance = new Instance("permit-0", "http://127.0.0.1:1");
+    private final ServiceInstance instance = new ServiceInstance("permit-0", "http://127.0.0.1:1");
 
     FakePermits(FakeControl control, UniformRandomProvider random) {
         this.control = control;
@@ -36,14 +36,14 @@
     }
 
     @Override
-    public Optional<Instance> choose(String service, Set<String> tried) {
+    public Optional<ServiceInstance> choose(String service, Set<String> tried) {
         return tried.isEmpty() ? Optional.of(instance) : Optional.empty();
     }
 
     @Override
-    public CompletableFuture<OneCall> connect(Instance target) {
-        CompletableFuture<OneCall> result = new CompletableFuture<>();
-        boolean refused = fault();
+    public CompletableFuture<CallConnection> connect(ServiceInstance target) {
+        CompletableFuture<CallConnection> result = new CompletableFuture<>();
+        boolean refused = randomFault();
         control.after(1 + random.nextInt(3), () -> {
             if (refused) {
                 result.completeExceptionally(new AgatelaneException(FailureType.NO_UPSTREAM, "refused"));
@@ -54,34 +54,35 @@
         return result;
     }
 
-    /** The idempotent status call. */
+    /** Returns the response of a booking that ran; empty when it did not run or the status call fails. */
     CompletableFuture<Optional<Answer>> status(String key) {
         CompletableFuture<Optional<Answer>> result = new CompletableFuture<>();
-        boolean fails = fault();
-        control.after(2, () -> result.complete(fails ? Optional.empty() : Optional.ofNullable(answers.get(key))));
+        boolean fails = randomFault();
+        control.after(2, () -> result.complete(fails ? Optional.empty() : Optional.ofNullable(responses.get(key))));
         return result;
     }
 
     private CompletableFuture<Answer> send(ServiceRequest call, long timeoutMillis) {
         CompletableFuture<Answer> result = new CompletableFuture<>();
-        boolean neverArrives = fault();
-        boolean answerLost = fault();
-        long arrivesMillis = fault() ? timeoutMillis * 2 : 1L + random.nextInt(5);
+        boolean neverArrives = randomFault();
+        boolean responseLost = randomFault();
+        long arrivesMillis = randomFault() ? timeoutMillis * 2 : 1L + random.nextInt(5);
         long takesMillis = 1L + random.nextInt(200);
         control.after(
                 timeoutMillis,
-                () -> result.completeExceptionally(new AgatelaneException(FailureType.UPSTREAM_TIMEOUT, "no answer")));
+                () -> result.completeExceptionally(
+                        new AgatelaneException(FailureType.UPSTREAM_TIMEOUT, "no response")));
         if (neverArrives) {
             control.after(arrivesMillis, () -> fail(result));
             return result;
         }
         control.after(arrivesMillis, () -> {
-            Answer answer = execute(call);
+            Answer response = execute(call);
             control.after(takesMillis, () -> {
-                if (answerLost) {
+                if (responseLost) {
                     fail(result);
                 } else {
-                    result.complete(answer);
+                    result.complete(response);
                 }
             });
         });
@@ -92,17 +93,17 @@
         String key = call.idempotencyKey();
         int run = runs.merge(key, 1, Integer::sum);
         executedRequests.add(call.requestId());
-        String text = key + " run " + run + " " + "x".repeat(answerBytes);
-        Answer answer = new Answer(201, "text/plain", text.getBytes(StandardCharsets.UTF_8));
-        answers.put(key, answer);
-        return answer;
+        String text = key + " run " + run + " " + "x".repeat(responseBytes);
+        Answer response = new Answer(201, "text/plain", text.getBytes(StandardCharsets.UTF_8));
+        responses.put(key, response);
+        return response;
     }
 
     private static void fail(CompletableFuture<Answer> result) {
-        result.completeExceptionally(new AgatelaneException(FailureType.UPSTREAM_FAILED, "the connection broke"));
+        result.completeExceptionally(new AgatelaneException(FailureType.UPSTREAM_FAILED, "the connection was closed"));
     }
 
-    private boolean fault() {
-        return random.nextInt(HUNDRED) < faultPercent;
+    private boolean randomFault() {
+        return random.nextInt(ONE_HUNDRED_PERCENT) < faultPercent;
     }
 }
--- a/agatelane-node/src/test/java/io/agatelane/node/io/service/HttpRouter.java
+++ b/agatelane-node/src/test/java/io/agatelane/node/io/service/HttpRouter.java
@@ -26,7 +26,7 @@
 import org.eclipse.jetty.server.Server;
 import org.eclipse.jetty.server.ServerConnector;
 
-/** One router's service traffic behind a real HTTP server, with a fake platform. */
+/** The service traffic of one router behind a real HTTP server, on a fake platform. */
 final class HttpRouter implements AutoCloseable {
     static final String API_KEY = "key-of-the-test";
 
@@ -45,8 +45,8 @@
         this("vm-1", new FakeKeyValueStore(new FakeControl()), null, timeoutMillis, baseUrls);
     }
 
-    /** Creates one of several routers that use the same store through a wrapper that is safe on several threads. */
-    HttpRouter(String vmName, FakeKeyValueStore store, UnsureStore shared, int timeoutMillis, String... baseUrls)
+    /** Creates one of several routers that share a store through a thread-safe wrapper. */
+    HttpRouter(String vmName, FakeKeyValueStore store, UncertainStore shared, int timeoutMillis, String... baseUrls)
             throws Exception {
         this.vmName = vmName;
         this.store = store;
@@ -74,12 +74,12 @@
         server.start();
     }
 
-    /** Makes another router known to this one. */
+    /** Adds another router to the membership of this one. */
     void join(HttpRouter other) {
         membership.put(new Member(other.vmName, 1, MemberState.ALIVE, "127.0.0.1:" + other.peers.port(), "zone-a", 0));
     }
 
-    /** Sends a request; the headers are names and values in turn. */
+    /** Sends a request; the headers are alternating names and values. */
     HttpResponse<String> send(String method, String path, String body, String... headers)
             throws IOException, InterruptedException {
         List<String> all = new ArrayList<>(List.of(headers));
--- a/agatelane-node/src/test/java/io/agatelane/node/io/service/NaiveKeyPerBooking.java
+++ b/agatelane-node/src/test/java/io/agatelane/node/io/service/NaiveKeyPerBooking.java
@@ -10,7 +10,7 @@
 import java.util.Set;
 import java.util.concurrent.CompletableFuture;
 
-/** The naive reference: a key for each booking, created if absent, with a read first to answer retries. */
+/** Baseline for comparison: one store key per booking, read first to serve retries and created if absent. */
 final class NaiveKeyPerBooking {
     private static final byte[] CLAIMED = {0};
 
@@ -31,17 +31,17 @@
     }
 
     private CompletableFuture<Answer> run(ServiceRequest request, String key, long revision) {
-        Optional<Instance> instance = permits.choose(request.service().name(), Set.of());
+        Optional<ServiceInstance> instance = permits.choose(request.service().name(), Set.of());
         return permits.connect(instance.orElseThrow())
                 .thenCompose(
                         connection -> connection.send(request, request.service().timeoutMillis()))
-                .thenCompose(answer ->
-                        store.compareAndSet(key, revision, record(answer)).thenApply(written -> answer));
+                .thenCompose(response ->
+                        store.compareAndSet(key, revision, record(response)).thenApply(written -> response));
     }
 
-    private static byte[] record(Answer answer) {
-        byte[] value = Arrays.copyOf(new byte[] {1}, 1 + answer.body().length);
-        System.arraycopy(answer.body(), 0, value, 1, answer.body().length);
+    private static byte[] record(Answer response) {
+        byte[] value = Arrays.copyOf(new byte[] {1}, 1 + response.body().length);
+        System.arraycopy(response.body(), 0, value, 1, response.body().length);
         return value;
     }
 
--- a/agatelane-node/src/test/java/io/agatelane/node/io/service/NaiveProxy.java
+++ b/agatelane-node/src/test/java/io/agatelane/node/io/service/NaiveProxy.java
@@ -4,7 +4,7 @@
 import java.util.HashSet;
 import java.util.concurrent.CompletableFuture;
 
-/** The naive baseline: every request is sent to the service, without a claim. */
+/** Baseline for comparison: sends every request to the service without a claim. */
 final class NaiveProxy {
     private FakePermits permits;
 
@@ -13,7 +13,7 @@
     }
 
     CompletableFuture<Answer> call(ServiceRequest request) {
-        Instance instance =
+        ServiceInstance instance =
                 permits.choose(request.service().name(), new HashSet<>()).orElseThrow();
         return permits.connect(instance)
                 .thenCompose(
--- a/agatelane-node/src/test/java/io/agatelane/node/io/service/PartitionStoreTest.java
+++ b/agatelane-node/src/test/java/io/agatelane/node/io/service/PartitionStoreTest.java
@@ -23,11 +23,11 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Bookings as stored on the platform. */
+/** Tests how bookings are stored on the platform. */
 public class PartitionStoreTest {
     private static final BookingKey KEY = new BookingKey("aargau", "permits", "key-1");
     private static final AttemptId ATTEMPT = new AttemptId("vm-1", 5, 9);
-    private static final Answer ANSWER = new Answer(201, "text/plain", new byte[] {1, 2, 3});
+    private static final Answer RESPONSE = new Answer(201, "text/plain", new byte[] {1, 2, 3});
 
     private FakeKeyValueStore platform;
     private PartitionStore store;
@@ -40,10 +40,10 @@
         partition = KEY.partition();
     }
 
-    /** Guards against entries that change on their way to the platform and back. */
+    /** Guards against entries that are read back from the platform with other contents than were written. */
     @Test
-    public void segmentsComeBackAsWritten() {
-        Booking inline = Booking.claimed(KEY, ATTEMPT, "ab12", 77).withFinished(Optional.of(ANSWER));
+    public void segmentsAreReadAsWritten() {
+        Booking inline = Booking.claimed(KEY, ATTEMPT, "ab12", 77).withFinished(Optional.of(RESPONSE));
         Segment sealed = new Segment(0, List.of(inline), List.of(), "");
         Booking claimed = Booking.claimed(new BookingKey("a", "b", "c"), ATTEMPT, "cd", 78);
         Segment open = new Segment(1, List.of(claimed), List.of(new SealedRef("0-4", 99, 1)), "writer-1");
@@ -70,19 +70,19 @@
         assertEquals(AgatelaneException.from(lost).type(), FailureType.SWAP_LOST);
     }
 
-    /** Guards against long answers that are lost with a reply, or that stay after the retention time. */
+    /** Guards against long responses that are lost with a response of the store, or outlive the retention time. */
     @Test
-    public void longAnswersLiveAsLongAsTheirSegment() {
+    public void longResponsesAreDeletedWithTheirSegment() {
         platform.loseReplies(1);
-        store.storeAnswer(KEY, ATTEMPT, ANSWER).join();
-        assertEquals(store.loadAnswer(KEY, ATTEMPT).join(), Optional.of(ANSWER));
-        Booking apart = Booking.claimed(KEY, ATTEMPT, "ab12", 77).withFinished(Optional.empty());
-        Segment sealed = new Segment(0, List.of(apart), List.of(), "");
+        store.storeResponse(KEY, ATTEMPT, RESPONSE).join();
+        assertEquals(store.loadResponse(KEY, ATTEMPT).join(), Optional.of(RESPONSE));
+        Booking storedSeparately = Booking.claimed(KEY, ATTEMPT, "ab12", 77).withFinished(Optional.empty());
+        Segment sealed = new Segment(0, List.of(storedSeparately), List.of(), "");
         Segment open = new Segment(1, List.of(), List.of(new SealedRef("0-4", 99, 1)), "writer-1");
         store.swap(partition, new Effect.Swap(0, open, Optional.of(new Effect.SealedWrite("0-4", sealed))))
                 .join();
         store.deleteSealed(partition, "0-4");
-        assertEquals(store.loadAnswer(KEY, ATTEMPT).join(), Optional.empty());
+        assertEquals(store.loadResponse(KEY, ATTEMPT).join(), Optional.empty());
         assertEquals(platform.list("bookings/").join().size(), 1, "only the open segment is left");
     }
 }
--- a/agatelane-node/src/test/java/io/agatelane/node/io/service/PermitService.java
+++ b/agatelane-node/src/test/java/io/agatelane/node/io/service/PermitService.java
@@ -12,20 +12,20 @@
 import org.eclipse.jetty.server.ServerConnector;
 import org.eclipse.jetty.util.Callback;
 
-/** A plain service that counts how often each booking ran. */
+/** An HTTP service that counts how often each booking ran. */
 final class PermitService implements AutoCloseable {
     final Map<String, AtomicInteger> runs = new ConcurrentHashMap<>();
-    volatile Mode mode = Mode.ANSWER;
-    volatile int answerBytes = 10;
+    volatile Mode mode = Mode.RESPOND;
+    volatile int responseBytes = 10;
     volatile String loadReport = "{\"running\":0,\"waiting\":0,\"slots\":4}";
     private final Server server = new Server();
     private final ServerConnector connector = new ServerConnector(server);
 
-    /** What happens to a booking call after it ran. */
+    /** Reaction to a booked call after it has run. */
     enum Mode {
-        ANSWER,
+        RESPOND,
         CLOSE_CONNECTION,
-        NO_ANSWER,
+        NO_RESPONSE,
         REDIRECT
     }
 
@@ -72,10 +72,10 @@
         String key = request.getHeaders().get("Idempotency-Key");
         int run = runs.computeIfAbsent(key, unused -> new AtomicInteger()).incrementAndGet();
         switch (mode) {
-            case ANSWER -> {
+            case RESPOND -> {
                 response.setStatus(201);
                 response.getHeaders().put("Content-Type", "application/vnd.permits+json");
-                String text = "run " + run + " " + "x".repeat(answerBytes);
+                String text = "run " + run + " " + "x".repeat(responseBytes);
                 Content.Sink.write(response, true, text, callback);
             }
             case REDIRECT -> {
@@ -88,7 +88,7 @@
                     .getEndPoint()
                     .close();
             default -> {
-                // The callback is never completed: the caller waits.
+                // The callback is never completed, so the caller gets no response.
             }
         }
     }
--- a/agatelane-node/src/test/java/io/agatelane/node/io/service/PlatformCallsTest.java
+++ b/agatelane-node/src/test/java/io/agatelane/node/io/service/PlatformCallsTest.java
@@ -21,7 +21,7 @@
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.Test;
 
-/** Counts platform calls per booking and per retry, and compares them with a key per booking. */
+/** Counts platform calls per booking and per retry, and compares them with a store key per booking. */
 public class PlatformCallsTest {
     private static final int ROUTERS = 3;
     private static final int BOOKINGS = 4_000;
@@ -31,16 +31,16 @@
     private final Logger logger = Logger.getLogger("io.agatelane.node.io.service");
 
     @BeforeClass
-    public void quiet() {
+    public void suppressInfoLogs() {
         logger.setLevel(Level.WARNING);
     }
 
     @AfterClass(alwaysRun = true)
-    public void restore() {
+    public void restoreLogLevel() {
         logger.setLevel(null);
     }
 
-    /** Guards against a platform call for each booking or retry, which the platform's rate does not allow. */
+    /** Guards against a platform call for each booking or retry, which would exceed the platform's rate limit. */
     @Test
     public void groupCommitNeedsFewerCallsThanOneKeyPerBooking() {
         for (int perSecond : new int[] {20, 200, 2_000}) {
@@ -55,65 +55,66 @@
                     grouped.perRetry(),
                     naive.perBooking(),
                     naive.perRetry()));
-            assertEquals(grouped.retryCalls, 0, "retries are answered from memory");
+            assertEquals(grouped.retryCalls, 0, "retries are served from memory");
             assertTrue(grouped.bookingCalls < naive.bookingCalls, "calls per booking");
         }
     }
 
     private static Counts countGrouped(int perSecond) {
-        World world = new World();
-        FakePeerNetwork network = new FakePeerNetwork(world.control);
+        Fixture fixture = new Fixture();
+        FakePeerNetwork network = new FakePeerNetwork(fixture.control);
         List<BookingRouter> routers = new ArrayList<>();
         for (int i = 0; i < ROUTERS; i++) {
             FakeMembership membership = new FakeMembership("vm-" + i);
             for (int j = 0; j < ROUTERS; j++) {
                 membership.put("vm-" + j, MemberState.ALIVE, 1);
             }
-            routers.add(
-                    new BookingRouter("vm-" + i, 1, world.control, network, world.store, world.permits, membership));
+            routers.add(new BookingRouter(
+                    "vm-" + i, 1, fixture.control, network, fixture.store, fixture.permits, membership));
         }
-        world.control.advance(1_000);
+        fixture.control.advance(1_000);
         int[] next = new int[1];
         return count(
-                world, perSecond, request -> routers.get(next[0]++ % ROUTERS).call(request));
+                fixture, perSecond, request -> routers.get(next[0]++ % ROUTERS).call(request));
     }
 
     private static Counts countNaive(int perSecond) {
-        World world = new World();
-        NaiveKeyPerBooking naive = new NaiveKeyPerBooking(world.store, world.permits);
-        return count(world, perSecond, naive::call);
+        Fixture fixture = new Fixture();
+        NaiveKeyPerBooking naive = new NaiveKeyPerBooking(fixture.store, fixture.permits);
+        return count(fixture, perSecond, naive::call);
     }
 
-    private static Counts count(World world, int perSecond, Function<ServiceRequest, CompletableFuture<Answer>> calls) {
-        int before = world.calls();
-        int afterBookings = send(world, perSecond, BOOKINGS, 1, calls) - before;
-        int afterRetries = send(world, perSecond, BOOKINGS, RETRIES, calls) - before;
-        assertEquals(world.permits.runs.size(), BOOKINGS);
+    private static Counts count(
+            Fixture fixture, int perSecond, Function<ServiceRequest, CompletableFuture<Answer>> calls) {
+        int before = fixture.calls();
+        int afterBookings = send(fixture, perSecond, BOOKINGS, 1, calls) - before;
+        int afterRetries = send(fixture, perSecond, BOOKINGS, RETRIES, calls) - before;
+        assertEquals(fixture.permits.runs.size(), BOOKINGS);
         return new Counts(afterBookings, afterRetries - afterBookings);
     }
 
     private static int send(
-            World world,
+            Fixture fixture,
             int perSecond,
             int bookings,
             int times,
             Function<ServiceRequest, CompletableFuture<Answer>> calls) {
-        List<CompletableFuture<Answer>> answers = new ArrayList<>();
+        List<CompletableFuture<Answer>> responses = new ArrayList<>();
         for (int time = 0; time < times; time++) {
             for (int i = 0; i < bookings; i++) {
                 String key = "key-" + i;
-                String requestId = "r" + answers.size();
-                world.control.after(
-                        1_000L * answers.size() / perSecond,
-                        () -> answers.set(
+                String requestId = "r" + responses.size();
+                fixture.control.after(
+                        1_000L * responses.size() / perSecond,
+                        () -> responses.set(
                                 Integer.parseInt(requestId.substring(1)),
                                 calls.apply(BookingRouter.request(requestId, key))));
-                answers.add(null);
+                responses.add(null);
             }
         }
-        world.control.advance(1_000L * answers.size() / perSecond + 10_000);
-        answers.forEach(answer -> assertEquals(answer.join().status(), 201));
-        return world.calls();
+        fixture.control.advance(1_000L * responses.size() / perSecond + 10_000);
+        responses.forEach(response -> assertEquals(response.join().status(), 201));
+        return fixture.calls();
     }
 
     private record Counts(int bookingCalls, int retryCalls) {
@@ -126,12 +127,12 @@
         }
     }
 
-    private static final class World {
+    private static final class Fixture {
         private final FakeControl control = new FakeControl();
         private final FakeKeyValueStore store = new FakeKeyValueStore(control);
         private final FakePermits permits = new FakePermits(control, RandomSource.XO_SHI_RO_256_PP.create(SEED));
 
-        private World() {
+        private Fixture() {
             store.setLatencyMillis(4);
         }
 
--- a/agatelane-node/src/test/java/io/agatelane/node/io/service/ServiceTrafficTest.java
+++ b/agatelane-node/src/test/java/io/agatelane/node/io/service/ServiceTrafficTest.java
@@ -14,7 +14,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Service traffic over real HTTP connections. */
+/** Tests service traffic over real HTTP connections. */
 public class ServiceTrafficTest {
     private static final int TIMEOUT_MILLIS = 5_000;
 
@@ -33,9 +33,9 @@
         service.close();
     }
 
-    /** Guards against a retry that runs the call again or gets another answer than the first one. */
+    /** Guards against a retry that runs the call again or gets another response than the first call. */
     @Test
-    public void retryGetsTheFirstAnswerWhole() throws Exception {
+    public void retryGetsTheFirstResponseUnchanged() throws Exception {
         HttpResponse<String> first = book("key-1", "dossier");
         HttpResponse<String> second = book("key-1", "dossier");
         assertEquals(first.statusCode(), 201);
@@ -47,18 +47,18 @@
         assertEquals(service.runs("key-1"), 1);
     }
 
-    /** Guards against long answers that are cut or lost for a retry. */
+    /** Guards against a retry that gets no response, or a truncated one, when the first response was long. */
     @Test
-    public void longAnswerIsGivenAgain() throws Exception {
-        service.answerBytes = 200_000;
+    public void longResponseIsRepeated() throws Exception {
+        service.responseBytes = 200_000;
         HttpResponse<String> first = book("key-1", "dossier");
         assertEquals(book("key-1", "dossier").body(), first.body());
         assertEquals(first.body().length(), 200_006);
     }
 
-    /** Guards against requests that reach a service although they must be refused, and against wrong refusals. */
+    /** Guards against invalid requests that reach a service, and against refusals with the wrong status or problem. */
     @Test
-    public void badRequestsAreRefusedWithProblems() throws Exception {
+    public void invalidRequestsGetProblemDocuments() throws Exception {
         assertProblem(router.send("POST", "/services/permits/renewals", "x"), 400, "no");
         assertProblem(router.send("POST", "/services/permits/other", "x", "Idempotency-Key", "k"), 404, "no");
         assertProblem(router.send("POST", "/services/other/renewals", "x", "Idempotency-Key", "k"), 404, "no");
@@ -89,25 +89,25 @@
         }
     }
 
-    /** Guards against automatic retries of the HTTP client after the connection broke. */
+    /** Guards against automatic retries of the HTTP client after the connection breaks. */
     @Test
     public void brokenConnectionIsNotRetried() throws Exception {
         service.mode = PermitService.Mode.CLOSE_CONNECTION;
         assertProblem(book("key-1", "dossier"), 502, "unknown");
         HttpResponse<String> retry = book("key-1", "dossier");
-        assertEquals(retry.body(), "recorded", "the status call tells that the call ran");
+        assertEquals(retry.body(), "recorded", "the status call shows that the call ran");
         assertEquals(service.runs("key-1"), 1);
     }
 
-    /** Guards against a client that follows a redirect and so sends a booking twice. */
+    /** Guards against an HTTP client that follows a redirect and thereby sends a booked call twice. */
     @Test
-    public void redirectIsPassedOn() throws Exception {
+    public void redirectIsForwarded() throws Exception {
         service.mode = PermitService.Mode.REDIRECT;
         assertEquals(book("key-1", "dossier").statusCode(), 307);
         assertEquals(service.runs("key-1"), 1);
     }
 
-    /** Guards against lost work and a false statement when no instance accepts a connection. */
+    /** Guards against a claim that stays, or a call reported as possibly run, when no instance accepts a connection. */
     @Test
     public void refusedConnectionReleasesTheClaim() throws Exception {
         try (HttpRouter other = new HttpRouter(TIMEOUT_MILLIS, closedPort())) {
@@ -119,9 +119,9 @@
         }
     }
 
-    /** Guards against a dead instance that gets calls although another one is alive. */
+    /** Guards against calls to a dead instance while another one is alive. */
     @Test
-    public void deadInstanceIsPassedOver() throws Exception {
+    public void deadInstanceIsSkipped() throws Exception {
         try (HttpRouter other = new HttpRouter(TIMEOUT_MILLIS, closedPort(), service.baseUrl())) {
             for (int i = 0; i < 8; i++) {
                 String key = "key-" + i;
@@ -136,7 +136,7 @@
         }
     }
 
-    /** Guards against refusals that wait for the platform or deny what ran, and against lost answers in an outage. */
+    /** Guards against refusals that wait for the platform or deny a run, and against responses lost in an outage. */
     @Test
     public void outageRefusesOnlyNewBookings() throws Exception {
         HttpResponse<String> first = book("key-1", "dossier");
@@ -151,20 +151,20 @@
         assertEquals(service.runs("key-2"), 1);
     }
 
-    /** Guards against a second run when the retry reaches another router, also after the first one is gone. */
+    /** Guards against a second run when a retry reaches another router, also after the first router has stopped. */
     @Test
     public void retryThroughAnotherRouter() throws Exception {
         FakeControl clock = new FakeControl();
         FakeKeyValueStore platform = new FakeKeyValueStore(clock);
-        UnsureStore shared = new UnsureStore(platform, clock, RandomSource.XO_SHI_RO_256_PP.create(1));
+        UncertainStore shared = new UncertainStore(platform, clock, RandomSource.XO_SHI_RO_256_PP.create(1));
         try (HttpRouter first = new HttpRouter("vm-1", platform, shared, TIMEOUT_MILLIS, service.baseUrl());
                 HttpRouter second = new HttpRouter("vm-2", platform, shared, TIMEOUT_MILLIS, service.baseUrl())) {
             first.join(second);
             second.join(first);
             for (int i = 0; i < 20; i++) {
-                HttpResponse<String> answer = first.book("key-" + i);
-                assertEquals(answer.statusCode(), 201);
-                assertEquals(second.book("key-" + i).body(), answer.body());
+                HttpResponse<String> response = first.book("key-" + i);
+                assertEquals(response.statusCode(), 201);
+                assertEquals(second.book("key-" + i).body(), response.body());
             }
             first.traffic.drained().get(10, TimeUnit.SECONDS);
             first.close();
@@ -176,10 +176,10 @@
         }
     }
 
-    /** Guards against a call without an answer that holds its caller, or runs again on the next try. */
+    /** Guards against a call without a response that blocks its caller, or runs again on a retry. */
     @Test
-    public void callWithoutAnswerEndsInTime() throws Exception {
-        service.mode = PermitService.Mode.NO_ANSWER;
+    public void callWithoutResponseTimesOut() throws Exception {
+        service.mode = PermitService.Mode.NO_RESPONSE;
         try (HttpRouter other = new HttpRouter(300, service.baseUrl())) {
             assertProblem(other.book("key-1"), 504, "unknown");
             assertEquals(other.book("key-1").body(), "recorded");
@@ -187,16 +187,16 @@
         }
     }
 
-    /** Guards against new calls to an instance that reports that it is draining. */
+    /** Guards against new calls to an instance that reports itself as draining. */
     @Test
     public void drainingInstanceGetsNoCall() throws Exception {
         service.loadReport = "{\"running\":0,\"waiting\":0,\"slots\":4,\"role\":\"draining\"}";
         awaitStatus("key", 503);
     }
 
-    /** Guards against paths that are matched in one form and passed on in another. */
+    /** Guards against paths that are matched in one form and forwarded in another. */
     @Test
-    public void pathsArePassedOnAsTheyCame() throws Exception {
+    public void pathsAreForwardedUnchanged() throws Exception {
         book("a%20b", "dossier");
         assertEquals(
                 router.send("GET", "/services/permits/status/a%20b?x=%2F", "").body(), "recorded");
@@ -205,7 +205,7 @@
         assertProblem(router.send("GET", "/services/permits/status/a/../b", ""), 400, "no");
     }
 
-    /** Guards against a shutdown that cuts requests or refuses them without telling that they did not run. */
+    /** Guards against a shutdown that breaks running requests, or refuses new ones without a "not run". */
     @Test
     public void drainRefusesNewRequests() throws Exception {
         book("key-1", "dossier");
@@ -219,7 +219,7 @@
         return router.send("POST", "/services/permits/renewals", body, "Idempotency-Key", key);
     }
 
-    // The state of an instance and of the platform becomes known with the next periodic call.
+    // The router detects a changed state of an instance or of the platform only with its next periodic call.
     private void awaitStatus(String firstKey, int status) throws Exception {
         String key = firstKey;
         int last = 0;
--- a/agatelane-node/src/test/java/io/agatelane/node/io/service/UncertainStore.java
+++ b/agatelane-node/src/test/java/io/agatelane/node/io/service/UncertainStore.java
@@ -12,16 +12,19 @@
 import java.util.function.Consumer;
 import org.apache.commons.rng.UniformRandomProvider;
 
-/** Adds writes with an unknown outcome that take effect late or never, and lets several threads use a fake platform. */
-final class UnsureStore implements KeyValueStore {
-    private static final int HUNDRED = 100;
+/**
+ * Wraps a fake platform for use by several threads and adds writes with an unknown outcome, which take effect late or
+ * never.
+ */
+final class UncertainStore implements KeyValueStore {
+    private static final int ONE_HUNDRED_PERCENT = 100;
 
-    int unsurePercent;
+    int uncertainPercent;
     private final KeyValueStore inner;
     private final FakeControl control;
     private final UniformRandomProvider random;
 
-    UnsureStore(KeyValueStore inner, FakeControl control, UniformRandomProvider random) {
+    UncertainStore(KeyValueStore inner, FakeControl control, UniformRandomProvider random) {
         this.inner = inner;
         this.control = control;
         this.random = random;
@@ -39,7 +42,7 @@
 
     @Override
     public synchronized CompletableFuture<Long> compareAndSet(String key, long expectedRevision, byte[] value) {
-        if (random.nextInt(HUNDRED) >= unsurePercent) {
+        if (random.nextInt(ONE_HUNDRED_PERCENT) >= uncertainPercent) {
             return inner.compareAndSet(key, expectedRevision, value);
         }
         CompletableFuture<Long> result = new CompletableFuture<>();
@@ -52,7 +55,7 @@
         control.after(
                 random.nextInt(50),
                 () -> result.completeExceptionally(
-                        new AgatelaneException(FailureType.WRITE_OUTCOME_UNKNOWN, "no reply")));
+                        new AgatelaneException(FailureType.WRITE_OUTCOME_UNKNOWN, "no response")));
         return result;
     }
 
