--- a/agatelane-node/src/main/java/io/agatelane/node/io/service/ServiceHandler.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/io/service/ServiceHandler.java
@@ -29,7 +29,7 @@
 import org.eclipse.jetty.server.Response;
 import org.eclipse.jetty.util.Callback;
 
-/** Checks callers' requests below {@code /services/} and writes the answers. */
+/** Checks callers' requests below {@code /services/}, has them forwarded and writes the responses. */
 final class ServiceHandler extends Handler.Abstract.NonBlocking {
     private static final String PREFIX = "/services/";
     private static final String IDEMPOTENCY_KEY = "Idempotency-Key";
