--- a/agatelane-lab/src/main/java/io/agatelane/lab/engine/CacheEvents.java
+++ b/agatelane-lab/src/main/java/io/agatelane/lab/engine/CacheEvents.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-/** Numbered cache events with a bounded history; a dropped event leaves a gap in the numbers. */
+/** Numbered cache events with a bounded history; a dropped event leaves a gap in the sequence numbers. */
 final class CacheEvents {
     private static final int HISTORY_LIMIT = 4_096;
 
@@ -18,7 +18,7 @@
     private final List<Consumer<String>> subscribers = new ArrayList<>();
     private long lastSequence;
 
-    /** Takes the next number, and with it the place of the event in the order. */
+    /** Formats an event with the next sequence number, without publishing it. */
     synchronized String prepare(String type, String salt, List<Long> digests) {
         ObjectNode node = JsonNodeFactory.instance.objectNode();
         node.put("seq", ++lastSequence).put("type", type).put("salt", salt);
@@ -27,7 +27,7 @@
         return "id: " + lastSequence + "\ndata: " + node + "\n\n";
     }
 
-    /** Reports a prepared event. */
+    /** Adds a prepared event to the history and sends it to all subscribers. */
     synchronized void publish(String event) {
         long sequence = Long.parseLong(event.substring("id: ".length(), event.indexOf('\n')));
         history.addLast(new Event(sequence, event));
@@ -37,7 +37,7 @@
         subscribers.forEach(subscriber -> subscriber.accept(event));
     }
 
-    /** Reports the kept events from a number on, and all later ones. */
+    /** Sends the subscriber the events of the history from a sequence number on, and then each later event. */
     synchronized void subscribe(long fromSequence, Consumer<String> subscriber) {
         history.stream()
                 .filter(event -> event.sequence() >= fromSequence)
@@ -49,7 +49,7 @@
         subscribers.remove(subscriber);
     }
 
-    /** Starts again at number 1, as a new incarnation does. */
+    /** Drops history and subscribers; a new incarnation numbers its events from 1 again. */
     synchronized void reset() {
         history.clear();
         subscribers.clear();
--- a/agatelane-lab/src/main/java/io/agatelane/lab/engine/CompletionWriter.java
+++ b/agatelane-lab/src/main/java/io/agatelane/lab/engine/CompletionWriter.java
@@ -21,7 +21,7 @@
         this.streamed = streamed;
     }
 
-    /** Sends the headers of a stream, which tells the reader that the request was accepted. */
+    /** Sends the headers of a streamed response, which shows the client that the request was accepted. */
     void open(Runnable onReaderGone) {
         if (streamed) {
             stream = exchange.stream(200, "text/event-stream");
@@ -30,10 +30,10 @@
         }
     }
 
-    /** Stops all output while the connection stays open. */
-    void silence() {
+    /** Discards all further output of a stream while its connection stays open. */
+    void discardFurtherOutput() {
         if (stream != null) {
-            stream.silence();
+            stream.discardFurtherOutput();
         }
     }
 
@@ -62,14 +62,14 @@
             stream.end();
             return;
         }
-        ObjectNode answer = JsonNodeFactory.instance.objectNode();
-        answer.put("id", "chatcmpl-" + requestId).put("object", "chat.completion");
-        answer.put("created", 0).put("model", model);
-        ObjectNode choice = answer.putArray("choices").addObject().put("index", 0);
+        ObjectNode response = JsonNodeFactory.instance.objectNode();
+        response.put("id", "chatcmpl-" + requestId).put("object", "chat.completion");
+        response.put("created", 0).put("model", model);
+        ObjectNode choice = response.putArray("choices").addObject().put("index", 0);
         choice.putObject("message").put("role", "assistant").put("content", text.toString());
         choice.put("finish_reason", result.finishReason());
-        putUsage(answer, result);
-        exchange.answer(200, answer);
+        putUsage(response, result);
+        exchange.respond(200, response);
     }
 
     @Override
--- a/agatelane-lab/src/main/java/io/agatelane/lab/engine/EngineCore.java
+++ b/agatelane-lab/src/main/java/io/agatelane/lab/engine/EngineCore.java
@@ -24,10 +24,11 @@
 import java.util.function.Supplier;
 
 /**
- * Model of a continuously batching engine.
+ * Simulates an engine with continuous batching.
  *
- * <p>Prefill is a serial resource that works on the running request of the best priority in chunks; output tokens of all
- * running requests advance together. One thread owns all state.
+ * <p>Prefill computes one chunk at a time, always for the running request with the best priority. In each decode step,
+ * every running request whose prefill is complete produces one output token. A single thread (the loop) owns all
+ * state.
  */
 @SuppressWarnings("FutureReturnValueIgnored") // Tasks on the loop are not awaited; their failures are logged.
 final class EngineCore implements AutoCloseable {
@@ -35,38 +36,38 @@
     private static final int TOKENS_PER_BLOCK = 256;
     private static final int PREFILL_CHUNK_TOKENS = 1_024;
     private static final long HOUSEKEEPING_MILLIS = 50;
-    private static final long KEEP_FINISHED_MILLIS = 30_000;
+    private static final long FINISHED_RETENTION_MILLIS = 30_000;
     private static final AtomicLong INCARNATIONS = new AtomicLong(System.currentTimeMillis());
 
     private final EngineSettings settings;
     private final EngineFaults faults;
     private final EngineCounters counters = new EngineCounters();
     private final CacheEvents events = new CacheEvents();
-    private final KeptStore keptStore;
+    private final KeptStore blockStore;
     private final ScheduledThreadPoolExecutor loop;
     private final PriorityQueue<Generation> waiting =
             new PriorityQueue<>(Comparator.comparingInt((Generation generation) -> generation.request.priority())
                     .thenComparingLong(generation -> generation.sequence));
     private final List<Generation> running = new ArrayList<>();
     private final Map<String, Generation> streams = new LinkedHashMap<>();
-    private final Set<Long> everComputed = new HashSet<>();
-    private final Deque<LoadSample> samples = new ArrayDeque<>();
+    private final Set<Long> everComputedDigests = new HashSet<>();
+    private final Deque<LoadSample> loadSamples = new ArrayDeque<>();
     private final PrefixCache cache;
     private Runnable onCrash = () -> {};
     private Runnable onReset = () -> {};
     private Generation prefilling;
-    private boolean ticking;
-    private long nextTickNanos;
+    private boolean decodeStepScheduled;
+    private long nextDecodeStepNanos;
     private long nextSequence;
     private volatile int epoch;
     private volatile String incarnation = newIncarnation();
-    private volatile EngineState state;
+    private volatile LabEngineState state;
 
-    EngineCore(EngineSettings settings, EngineFaults faults, KeptStore keptStore) {
+    EngineCore(EngineSettings settings, EngineFaults faults, KeptStore blockStore) {
         this.settings = settings;
         this.faults = faults;
-        this.keptStore = keptStore;
-        this.state = EngineState.initial(settings);
+        this.blockStore = blockStore;
+        this.state = LabEngineState.initial(settings);
         this.cache = new PrefixCache(settings.cacheBlocks(), (salt, digests) -> publish("evicted", salt, digests));
         this.loop = new ScheduledThreadPoolExecutor(1, task -> {
             Thread thread = new Thread(task, "engine");
@@ -74,15 +75,16 @@
             return thread;
         });
         loop.setRemoveOnCancelPolicy(true);
-        loop.scheduleAtFixedRate(this::houseKeeping, HOUSEKEEPING_MILLIS, HOUSEKEEPING_MILLIS, TimeUnit.MILLISECONDS);
+        loop.scheduleAtFixedRate(
+                this::runHousekeeping, HOUSEKEEPING_MILLIS, HOUSEKEEPING_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    /** Sets what drops the connections when a request crashes the engine. */
+    /** Sets the action that drops the connections when a request crashes the engine. */
     void onCrash(Runnable listener) {
         onCrash = listener;
     }
 
-    /** Sets what forgets further state when the engine comes back empty. */
+    /** Sets the action that resets state outside this class after a crash. */
     void onReset(Runnable listener) {
         onReset = listener;
     }
@@ -91,7 +93,7 @@
         return incarnation;
     }
 
-    EngineState state() {
+    LabEngineState state() {
         return state;
     }
 
@@ -107,45 +109,46 @@
         return System.nanoTime() / 1_000_000;
     }
 
-    /** Runs a task on the engine's loop, after a freeze if there is one. */
+    /** Runs a task on the engine's loop; a freeze fault delays it until the freeze ends. */
     void execute(Runnable task) {
-        after(0, task);
+        schedule(0, task);
     }
 
     /**
      * Accepts a request.
      *
-     * @param reader opens the answer of an accepted request, before its first token
-     * @return the incarnation and weights that run it; fails with an {@link EngineRefusal} when nothing has run
+     * @param reader opens the response to an accepted request, before its first token
+     * @return the incarnation and weights that run it; fails with an {@link EngineRefusal} when the request was refused
+     *     before anything ran
      */
-    CompletableFuture<Accepted> submit(
+    CompletableFuture<Acceptance> submit(
             GenerationRequest request,
             String expectedIncarnation,
             String expectedWeights,
-            Function<Accepted, TokenReader> reader) {
-        CompletableFuture<Accepted> accepted = new CompletableFuture<>();
+            Function<Acceptance, TokenReader> reader) {
+        CompletableFuture<Acceptance> accepted = new CompletableFuture<>();
         execute(() -> {
-            counters.attempt(request.requestId());
-            Reason reason = refusalOf(request, expectedIncarnation, expectedWeights);
+            counters.countAttempt(request.requestId());
+            Reason reason = refusalReason(request, expectedIncarnation, expectedWeights);
             if (reason != null) {
                 counters.add("refused." + reason.code(), 1);
                 accepted.completeExceptionally(new EngineRefusal(reason));
                 return;
             }
-            EngineState current = state;
-            Accepted result = new Accepted(incarnation, current.weightsVersion());
+            LabEngineState current = state;
+            Acceptance result = new Acceptance(incarnation, current.weightsVersion());
             enqueue(request, current, reader.apply(result));
             accepted.complete(result);
         });
         return accepted;
     }
 
-    /** Attaches a reader to a stream that is still held. */
+    /** Attaches a reader to a retained stream; false when the stream or the offset is not available. */
     CompletableFuture<Boolean> resume(String requestId, int fromOffset, Supplier<TokenReader> reader) {
         CompletableFuture<Boolean> found = new CompletableFuture<>();
         execute(() -> {
             Generation generation = streams.get(requestId);
-            boolean attachable = generation != null && generation.covers(fromOffset);
+            boolean attachable = generation != null && generation.isReadableFrom(fromOffset);
             found.complete(attachable);
             if (attachable) {
                 counters.add("resumedStreams", 1);
@@ -162,14 +165,14 @@
             Generation generation = streams.get(requestId);
             if (generation != null) {
                 counters.add("cancelled", 1);
-                drop(generation);
+                removeAndForget(generation);
             }
             found.complete(generation != null);
         });
         return found;
     }
 
-    /** Reports that a reader's connection is gone. */
+    /** Records that a reader's connection is closed. */
     void detach(String requestId, TokenReader reader) {
         execute(() -> {
             Generation generation = streams.get(requestId);
@@ -179,27 +182,27 @@
         });
     }
 
-    /** The newest load report that is at least as old as the configured lag. */
+    /** Returns the newest load report that is at least as old as the configured lag, else the oldest one. */
     CompletableFuture<ObjectNode> load() {
         CompletableFuture<ObjectNode> report = new CompletableFuture<>();
         execute(() -> {
             long now = nowMillis();
             LoadSample chosen = sample(now);
             long lag = faults.loadLagMillis();
-            if (lag > 0 && !samples.isEmpty()) {
-                chosen = samples.peekFirst();
-                for (LoadSample candidate : samples) {
+            if (lag > 0 && !loadSamples.isEmpty()) {
+                chosen = loadSamples.peekFirst();
+                for (LoadSample candidate : loadSamples) {
                     if (now - candidate.measuredMillis() >= lag) {
                         chosen = candidate;
                     }
                 }
             }
-            report.complete(reportOf(chosen, now));
+            report.complete(toLoadReport(chosen, now));
         });
         return report;
     }
 
-    /** What this engine would need for a prompt, from its true state. */
+    /** Estimates the cost of a prompt from the current state instead of the delayed load report. */
     CompletableFuture<Estimate> estimate(String salt, PromptDigests digests) {
         CompletableFuture<Estimate> estimate = new CompletableFuture<>();
         execute(() -> {
@@ -208,7 +211,7 @@
             for (Generation pending : pending()) {
                 tokensAhead += pending.isNew() ? uncachedTokens(pending.request) : pending.prefillTokensLeft();
                 if (pending.request.salt().equals(salt)) {
-                    blocks = Math.max(blocks, commonBlocks(pending.request.digests(), digests));
+                    blocks = Math.max(blocks, commonBlockCount(pending.request.digests(), digests));
                 }
             }
             int queued = Math.max(0, running.size() + waiting.size() + 1 - settings.slots());
@@ -218,46 +221,46 @@
         return estimate;
     }
 
-    /** Changes model, weights or role; completes on the loop when the change is in force. */
-    void changeState(EngineState newState) {
-        EngineState old = state;
+    /** Changes model, weights or role; other weights clear the cache. Called on the loop. */
+    void changeState(LabEngineState newState) {
+        LabEngineState old = state;
         state = newState;
-        if (!old.sameWeights(newState)) {
+        if (!old.hasSameWeights(newState)) {
             cache.clear();
             publish("cleared", "", List.of());
         }
     }
 
-    /** Saves the cached blocks among the given ones and returns their number. */
+    /** Saves those of the given blocks that are cached, and returns how many they are. */
     CompletableFuture<Integer> export(String salt, List<Long> digests) {
         CompletableFuture<Integer> exported = new CompletableFuture<>();
         execute(() -> {
             List<String> keys = digests.stream()
                     .filter(digest -> cache.contains(salt, digest))
-                    .map(digest -> keptKey(salt, digest))
+                    .map(digest -> blockKey(salt, digest))
                     .toList();
             counters.add("exportedBlocks", keys.size());
-            keptStore.save(keys).whenComplete((done, failure) -> complete(exported, keys.size(), failure));
+            blockStore.save(keys).whenComplete((done, failure) -> complete(exported, keys.size(), failure));
         });
         return exported;
     }
 
-    /** Copies the saved blocks among the given ones into the cache and returns their number. */
+    /** Copies those of the given blocks that are saved into the cache, and returns how many they are. */
     CompletableFuture<Integer> importBlocks(String salt, List<Long> digests) {
         CompletableFuture<Integer> imported = new CompletableFuture<>();
         List<String> keys =
-                digests.stream().map(digest -> keptKey(salt, digest)).toList();
-        keptStore.find(keys).whenComplete((found, failure) -> {
+                digests.stream().map(digest -> blockKey(salt, digest)).toList();
+        blockStore.find(keys).whenComplete((found, failure) -> {
             if (failure != null) {
                 imported.completeExceptionally(failure);
                 return;
             }
             Set<String> foundKeys = Set.copyOf(found);
             List<Long> present = digests.stream()
-                    .filter(digest -> foundKeys.contains(keptKey(salt, digest)))
+                    .filter(digest -> foundKeys.contains(blockKey(salt, digest)))
                     .toList();
-            after(present.size() * settings.importMillisPerBlock(), () -> {
-                storeBlocks(salt, cache.store(salt, present));
+            schedule(present.size() * settings.importMillisPerBlock(), () -> {
+                publishStored(salt, cache.store(salt, present));
                 counters.add("importedBlocks", present.size());
                 imported.complete(present.size());
             });
@@ -265,7 +268,7 @@
         return imported;
     }
 
-    /** Loses everything but the counters and the orders' fencing number, and gets a new incarnation. */
+    /** Loses all state but the counters and the last fencing number, and starts a new incarnation. */
     void crash() {
         loop.execute(() -> {
             int startEpoch = epoch;
@@ -274,20 +277,20 @@
             streams.clear();
             waiting.clear();
             running.clear();
-            samples.clear();
+            loadSamples.clear();
             prefilling = null;
-            ticking = false;
+            decodeStepScheduled = false;
             cache.clear();
             events.reset();
             incarnation = newIncarnation();
-            state = EngineState.initial(settings).withFencing(state.fencingNumber());
+            state = LabEngineState.initial(settings).withFencingNumber(state.fencingNumber());
             counters.add("crashes", 1);
             onReset.run();
         });
     }
 
-    /** Runs a task on the loop after a delay, unless the engine crashes before. */
-    void after(double delayMillis, Runnable task) {
+    /** Runs a task on the loop after a delay, unless the engine crashes before it is due. */
+    void schedule(double delayMillis, Runnable task) {
         int startEpoch = epoch;
         loop.schedule(() -> runUnlessFrozen(startEpoch, task), (long) (delayMillis * 1e6), TimeUnit.NANOSECONDS);
     }
@@ -317,8 +320,8 @@
         }
     }
 
-    private Reason refusalOf(GenerationRequest request, String expectedIncarnation, String expectedWeights) {
-        EngineState current = state;
+    private Reason refusalReason(GenerationRequest request, String expectedIncarnation, String expectedWeights) {
+        LabEngineState current = state;
         if (!expectedIncarnation.isEmpty() && !expectedIncarnation.equals(incarnation)) {
             return Reason.INCARNATION_MISMATCH;
         }
@@ -334,7 +337,7 @@
         return waiting.size() >= settings.maxWaiting() ? Reason.OVERLOADED : null;
     }
 
-    private void enqueue(GenerationRequest request, EngineState current, TokenReader reader) {
+    private void enqueue(GenerationRequest request, LabEngineState current, TokenReader reader) {
         counters.add("requests", 1);
         if (current.role().equals("draining")) {
             counters.add("requestsWhileDraining", 1);
@@ -375,7 +378,7 @@
             return;
         }
         Generation generation = prefilling;
-        if (faults.crashesOn(generation.request.canonicalPrompt())) {
+        if (faults.containsCrashMarker(generation.request.canonicalPrompt())) {
             counters.add("poisonCrashes", 1);
             onCrash.run();
             return;
@@ -385,7 +388,7 @@
         }
         int chunk = Math.min(PREFILL_CHUNK_TOKENS, generation.prefillTokensLeft());
         double millis = chunk * 1_000.0 / settings.prefillTokensPerSecond() * faults.straggleFactor();
-        after(millis, () -> chunkDone(generation, chunk));
+        schedule(millis, () -> finishChunk(generation, chunk));
     }
 
     private List<Generation> pending() {
@@ -394,7 +397,7 @@
         return pending;
     }
 
-    private static int commonBlocks(PromptDigests first, PromptDigests second) {
+    private static int commonBlockCount(PromptDigests first, PromptDigests second) {
         int limit = Math.min(first.blockCount(), second.blockCount());
         int common = 0;
         while (common < limit && first.digest(common) == second.digest(common)) {
@@ -417,22 +420,22 @@
         counters.add("cachedTokens", cachedTokens);
         counters.add("computedBlockTokens", (long) (request.digests().blockCount() - blocks) * TOKENS_PER_BLOCK);
         for (int i = blocks; i < request.digests().blockCount(); i++) {
-            if (!everComputed.add(request.digests().digest(i))) {
+            if (!everComputedDigests.add(request.digests().digest(i))) {
                 counters.add("recomputedTokens", TOKENS_PER_BLOCK);
             }
         }
     }
 
-    private void chunkDone(Generation generation, int chunk) {
-        generation.prefilled(chunk);
+    private void finishChunk(Generation generation, int chunk) {
+        generation.recordPrefilled(chunk);
         if (running.contains(generation) && generation.prefillTokensLeft() <= 0) {
             if (generation.weightsVersion.equals(state.weightsVersion())) {
                 GenerationRequest request = generation.request;
-                storeBlocks(request.salt(), cache.store(request.salt(), request.digests()));
+                publishStored(request.salt(), cache.store(request.salt(), request.digests()));
             }
             generation.startDecoding();
-            if (generation.produce()) {
-                startTicking();
+            if (generation.produceToken()) {
+                startDecodeSteps();
             } else {
                 finish(generation);
             }
@@ -441,35 +444,35 @@
         admit();
     }
 
-    private void startTicking() {
-        if (!ticking) {
-            ticking = true;
-            nextTickNanos = System.nanoTime();
-            scheduleTick();
+    private void startDecodeSteps() {
+        if (!decodeStepScheduled) {
+            decodeStepScheduled = true;
+            nextDecodeStepNanos = System.nanoTime();
+            scheduleDecodeStep();
         }
     }
 
-    private void scheduleTick() {
-        nextTickNanos += (long) (settings.tokenMillis() * faults.straggleFactor() * 1e6);
-        after((double) Math.max(0, nextTickNanos - System.nanoTime()) / 1e6, this::tick);
+    private void scheduleDecodeStep() {
+        nextDecodeStepNanos += (long) (settings.tokenMillis() * faults.straggleFactor() * 1e6);
+        schedule((double) Math.max(0, nextDecodeStepNanos - System.nanoTime()) / 1e6, this::decodeStep);
     }
 
-    private void tick() {
+    private void decodeStep() {
         boolean decoding = false;
         for (Generation generation : List.copyOf(running)) {
             if (generation.isDecoding()) {
-                if (generation.produce()) {
+                if (generation.produceToken()) {
                     decoding = true;
                 } else {
                     finish(generation);
                 }
             }
         }
-        ticking = decoding;
+        decodeStepScheduled = decoding;
         if (decoding) {
-            // After a freeze the missed ticks are not made up for.
-            nextTickNanos = Math.max(nextTickNanos, System.nanoTime() - TimeUnit.MILLISECONDS.toNanos(20));
-            scheduleTick();
+            // Skips decode steps that are more than 20 ms late: after a freeze the missed steps are not made up for.
+            nextDecodeStepNanos = Math.max(nextDecodeStepNanos, System.nanoTime() - TimeUnit.MILLISECONDS.toNanos(20));
+            scheduleDecodeStep();
         }
         admit();
     }
@@ -479,7 +482,7 @@
         generation.finish(nowMillis());
     }
 
-    private void drop(Generation generation) {
+    private void removeAndForget(Generation generation) {
         remove(generation);
         streams.remove(generation.request.requestId(), generation);
         admit();
@@ -491,36 +494,37 @@
         generation.abort();
     }
 
-    private void houseKeeping() {
+    private void runHousekeeping() {
         if (faults.frozenMillis(nowMillis()) > 0) {
             return;
         }
         long now = nowMillis();
-        samples.addLast(sample(now));
-        while (samples.size() > 2 && now - samples.peekFirst().measuredMillis() > faults.loadLagMillis() + 1_000) {
-            samples.removeFirst();
+        loadSamples.addLast(sample(now));
+        while (loadSamples.size() > 2
+                && now - loadSamples.peekFirst().measuredMillis() > faults.loadLagMillis() + 1_000) {
+            loadSamples.removeFirst();
         }
-        Iterator<Generation> held = streams.values().iterator();
+        Iterator<Generation> retained = streams.values().iterator();
         List<Generation> orphans = new ArrayList<>();
-        while (held.hasNext()) {
-            Generation generation = held.next();
+        while (retained.hasNext()) {
+            Generation generation = retained.next();
             if (generation.isFinished()) {
-                if (now - generation.finishedMillis() > KEEP_FINISHED_MILLIS) {
-                    held.remove();
+                if (now - generation.finishedMillis() > FINISHED_RETENTION_MILLIS) {
+                    retained.remove();
                 }
-            } else if (generation.isOrphanSince(now - settings.orphanMillis())) {
+            } else if (generation.isOrphanedSince(now - settings.orphanTimeoutMillis())) {
                 orphans.add(generation);
             }
         }
         counters.add("abandoned", orphans.size());
-        orphans.forEach(this::drop);
+        orphans.forEach(this::removeAndForget);
     }
 
     private LoadSample sample(long now) {
         return new LoadSample(now, running.size(), waiting.size(), state);
     }
 
-    private ObjectNode reportOf(LoadSample sample, long now) {
+    private ObjectNode toLoadReport(LoadSample sample, long now) {
         return JsonNodeFactory.instance
                 .objectNode()
                 .put("incarnation", incarnation)
@@ -537,7 +541,7 @@
                 .put("age_millis", now - sample.measuredMillis());
     }
 
-    private void storeBlocks(String salt, List<Long> added) {
+    private void publishStored(String salt, List<Long> added) {
         if (!added.isEmpty()) {
             publish("stored", salt, added);
         }
@@ -549,13 +553,13 @@
             return;
         }
         if (faults.eventLagMillis() > 0) {
-            after((double) faults.eventLagMillis(), () -> events.publish(event));
+            schedule((double) faults.eventLagMillis(), () -> events.publish(event));
         } else {
             events.publish(event);
         }
     }
 
-    private String keptKey(String salt, long digest) {
+    private String blockKey(String salt, long digest) {
         return state.weightsVersion() + '/' + salt + '/' + Long.toHexString(digest);
     }
 
@@ -570,14 +574,14 @@
     /**
      * Cost of a prompt on this engine.
      *
-     * @param cachedTokens tokens that are cached, or will be after the requests that are already here
-     * @param tokensAhead uncached tokens of the requests that are already here
-     * @param queued requests that have to wait for a slot before this one
+     * @param cachedTokens prompt tokens that are cached, or will be once the pending requests are prefilled
+     * @param tokensAhead tokens that the pending requests still have to prefill
+     * @param queued requests without a slot, including this one
      */
     record Estimate(int cachedTokens, long tokensAhead, int queued) {}
 
-    /** What runs an accepted request. */
-    record Accepted(String incarnation, String weightsVersion) {}
+    /** Incarnation and weights version that run an accepted request. */
+    record Acceptance(String incarnation, String weightsVersion) {}
 
-    private record LoadSample(long measuredMillis, int running, int waiting, EngineState state) {}
+    private record LoadSample(long measuredMillis, int running, int waiting, LabEngineState state) {}
 }
--- a/agatelane-lab/src/main/java/io/agatelane/lab/engine/EngineCounters.java
+++ b/agatelane-lab/src/main/java/io/agatelane/lab/engine/EngineCounters.java
@@ -6,21 +6,21 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Counts of one engine stand-in over all incarnations. */
+/** Counters of one engine stand-in, which survive its crashes. */
 final class EngineCounters {
-    private static final int MAX_ATTEMPTS = 200_000;
+    private static final int MAX_COUNTED_REQUESTS = 200_000;
 
     private final Map<String, Long> counts = new TreeMap<>();
-    private final Map<String, Integer> attempts = new LinkedHashMap<>();
+    private final Map<String, Integer> attemptsByRequestId = new LinkedHashMap<>();
 
     synchronized void add(String name, long amount) {
         counts.merge(name, amount, Long::sum);
     }
 
-    synchronized void attempt(String requestId) {
-        attempts.merge(requestId, 1, Integer::sum);
-        if (attempts.size() > MAX_ATTEMPTS) {
-            attempts.remove(attempts.keySet().iterator().next());
+    synchronized void countAttempt(String requestId) {
+        attemptsByRequestId.merge(requestId, 1, Integer::sum);
+        if (attemptsByRequestId.size() > MAX_COUNTED_REQUESTS) {
+            attemptsByRequestId.remove(attemptsByRequestId.keySet().iterator().next());
         }
     }
 
@@ -35,7 +35,7 @@
         }
         counts.forEach(node::put);
         ObjectNode byId = node.putObject("attempts");
-        attempts.forEach(byId::put);
+        attemptsByRequestId.forEach(byId::put);
         return node;
     }
 }
--- a/agatelane-lab/src/main/java/io/agatelane/lab/engine/EngineFaults.java
+++ b/agatelane-lab/src/main/java/io/agatelane/lab/engine/EngineFaults.java
@@ -3,15 +3,15 @@
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
-/** Fault controls of an engine stand-in. A change names only the fields it sets. */
+/** Faults that an engine stand-in injects on request. A change contains only the fields that it sets. */
 final class EngineFaults {
     private double straggleFactor = 1;
-    private int dropEvents;
-    private String crashOn = "";
+    private int eventsToDrop;
+    private String crashMarker = "";
     private long crashMillis = 1_000;
-    private int crossAnswers;
-    private int lateAnswers;
-    private long lateMillis = 1_000;
+    private int responsesToMisdeliver;
+    private int responsesToDelay;
+    private long responseDelayMillis = 1_000;
     private long frozenUntilMillis;
     private long eventLagMillis;
     private long loadLagMillis;
@@ -20,15 +20,15 @@
         this.loadLagMillis = loadLagMillis;
     }
 
-    /** Takes the fields of a JSON object. */
+    /** Sets the faults that a JSON object contains; the others keep their values. */
     synchronized void apply(ObjectNode change, long nowMillis) {
         straggleFactor = change.path("straggleFactor").asDouble(straggleFactor);
-        dropEvents = change.path("dropEvents").asInt(dropEvents);
-        crashOn = change.path("crashOn").asText(crashOn);
+        eventsToDrop = change.path("dropEvents").asInt(eventsToDrop);
+        crashMarker = change.path("crashOn").asText(crashMarker);
         crashMillis = change.path("crashMillis").asLong(crashMillis);
-        crossAnswers = change.path("crossAnswers").asInt(crossAnswers);
-        lateAnswers = change.path("lateAnswers").asInt(lateAnswers);
-        lateMillis = change.path("lateMillis").asLong(lateMillis);
+        responsesToMisdeliver = change.path("crossAnswers").asInt(responsesToMisdeliver);
+        responsesToDelay = change.path("lateAnswers").asInt(responsesToDelay);
+        responseDelayMillis = change.path("lateMillis").asLong(responseDelayMillis);
         eventLagMillis = change.path("eventLagMillis").asLong(eventLagMillis);
         loadLagMillis = change.path("loadLagMillis").asLong(loadLagMillis);
         if (change.has("freezeMillis")) {
@@ -40,12 +40,12 @@
         return JsonNodeFactory.instance
                 .objectNode()
                 .put("straggleFactor", straggleFactor)
-                .put("dropEvents", dropEvents)
-                .put("crashOn", crashOn)
+                .put("dropEvents", eventsToDrop)
+                .put("crashOn", crashMarker)
                 .put("crashMillis", crashMillis)
-                .put("crossAnswers", crossAnswers)
-                .put("lateAnswers", lateAnswers)
-                .put("lateMillis", lateMillis)
+                .put("crossAnswers", responsesToMisdeliver)
+                .put("lateAnswers", responsesToDelay)
+                .put("lateMillis", responseDelayMillis)
                 .put("eventLagMillis", eventLagMillis)
                 .put("loadLagMillis", loadLagMillis)
                 .put("freezeMillis", Math.max(0, frozenUntilMillis - nowMillis));
@@ -55,8 +55,8 @@
         return straggleFactor;
     }
 
-    synchronized boolean crashesOn(String prompt) {
-        return !crashOn.isEmpty() && prompt.contains(crashOn);
+    synchronized boolean containsCrashMarker(String prompt) {
+        return !crashMarker.isEmpty() && prompt.contains(crashMarker);
     }
 
     synchronized long eventLagMillis() {
@@ -76,19 +76,19 @@
     }
 
     synchronized boolean takeDroppedEvent() {
-        return dropEvents > 0 && dropEvents-- > 0;
+        return eventsToDrop > 0 && eventsToDrop-- > 0;
     }
 
-    synchronized boolean takeCrossedAnswer() {
-        return crossAnswers > 0 && crossAnswers-- > 0;
+    synchronized boolean takeMisdeliveredResponse() {
+        return responsesToMisdeliver > 0 && responsesToMisdeliver-- > 0;
     }
 
-    /** Delay of this answer in milliseconds; 0 for an answer in time. */
-    synchronized long takeLateMillis() {
-        if (lateAnswers == 0) {
+    /** Returns the delay of the next response in milliseconds, 0 for none; counts down the responses to delay. */
+    synchronized long takeResponseDelayMillis() {
+        if (responsesToDelay == 0) {
             return 0;
         }
-        lateAnswers--;
-        return lateMillis;
+        responsesToDelay--;
+        return responseDelayMillis;
     }
 }
--- a/agatelane-lab/src/main/java/io/agatelane/lab/engine/EngineRefusal.java
+++ b/agatelane-lab/src/main/java/io/agatelane/lab/engine/EngineRefusal.java
@@ -1,6 +1,6 @@
 package io.agatelane.lab.engine;
 
-/** A request that the engine refused before anything ran. */
+/** Thrown when the engine refuses a request before any part of it ran. */
 final class EngineRefusal extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
@@ -15,7 +15,7 @@
         return reason;
     }
 
-    /** Why a request is refused. */
+    /** Reason of a refusal, with its error type and HTTP status. */
     enum Reason {
         INCARNATION_MISMATCH("incarnation_mismatch", 409),
         WEIGHTS_MISMATCH("weights_mismatch", 409),
--- a/agatelane-lab/src/main/java/io/agatelane/lab/engine/EngineServer.java
+++ b/agatelane-lab/src/main/java/io/agatelane/lab/engine/EngineServer.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.agatelane.core.hash.PromptDigests;
-import io.agatelane.lab.engine.EngineCore.Accepted;
+import io.agatelane.lab.engine.EngineCore.Acceptance;
 import io.agatelane.lab.engine.EngineRefusal.Reason;
 import io.agatelane.lab.http.BadRequestException;
 import io.agatelane.lab.http.Exchange;
@@ -19,26 +19,26 @@
 import java.util.concurrent.atomic.AtomicReference;
 import java.util.function.Consumer;
 
-/** HTTP side of an engine stand-in. */
-@SuppressWarnings("FutureReturnValueIgnored") // Each outcome is written to its exchange.
+/** Serves the HTTP interface of an engine stand-in. */
+@SuppressWarnings("FutureReturnValueIgnored") // Each result is written to its exchange.
 public final class EngineServer implements AutoCloseable {
-    private static final String STREAMS = "/v1/streams/";
-    private static final int HALF_OUTPUT_TOKENS = 16;
-    private static final String REQUEST_ID = "X-Request-Id";
+    private static final String STREAMS_PATH = "/v1/streams/";
+    private static final int MEAN_REMAINING_OUTPUT_TOKENS = 16;
+    private static final String REQUEST_ID_HEADER = "X-Request-Id";
 
     private final EngineFaults faults;
     private final EngineCore core;
-    private final OrderDesk orders;
-    private final KeptStore keptStore;
+    private final OrderExecutor orders;
+    private final KeptStore blockStore;
     private final LabServer server;
     private final Set<CompletionWriter> openWriters = ConcurrentHashMap.newKeySet();
     private final AtomicReference<GenerationRequest> lastRequest = new AtomicReference<>();
 
-    public EngineServer(InetSocketAddress address, EngineSettings settings, KeptStore keptStore) {
-        this.keptStore = keptStore;
+    public EngineServer(InetSocketAddress address, EngineSettings settings, KeptStore blockStore) {
+        this.blockStore = blockStore;
         faults = new EngineFaults(settings.loadLagMillis());
-        core = new EngineCore(settings, faults, keptStore);
-        orders = new OrderDesk(core, settings, keptStore);
+        core = new EngineCore(settings, faults, blockStore);
+        orders = new OrderExecutor(core, settings, blockStore);
         server = new LabServer(address, this::serve);
         core.onCrash(() -> crash(faults.crashMillis()));
     }
@@ -57,11 +57,11 @@
         server.join();
     }
 
-    /** Takes fault controls in the form of {@code PUT /lab/faults}. */
+    /** Applies fault controls in the form of {@code PUT /lab/faults}. */
     public void applyFaults(ObjectNode change) {
         faults.apply(change, EngineCore.nowMillis());
         if (change.path("silenceOpen").asBoolean()) {
-            openWriters.forEach(CompletionWriter::silence);
+            openWriters.forEach(CompletionWriter::discardFurtherOutput);
         }
         if (change.has("crash")) {
             long downMillis = change.path("crash").asLong(0);
@@ -69,21 +69,22 @@
         }
     }
 
-    /** Counters in the form of {@code GET /lab/counters}. */
+    /** Returns the counters in the form of {@code GET /lab/counters}. */
     public ObjectNode counters() {
         return core.counters().toJson();
     }
 
     /**
-     * Expected time to first token in milliseconds from the engine's true state, which no router can see.
+     * Estimates the time to first token in milliseconds from the engine's current state, which routers cannot see.
      *
      * @param settings the settings that the engine was created with
      */
     public CompletableFuture<Double> trueFirstTokenMillis(EngineSettings settings, String salt, PromptDigests digests) {
         return core.estimate(salt, digests).thenApply(estimate -> {
             double tokens = estimate.tokensAhead() + digests.tokenCount() - estimate.cachedTokens();
-            // A slot becomes free once per decoded request; the mean rest of a request is half its tokens.
-            double slotMillis = estimate.queued() * settings.tokenMillis() * HALF_OUTPUT_TOKENS / settings.slots();
+            // A slot becomes free when a running request ends, which on average has half of its output tokens left.
+            double slotMillis =
+                    estimate.queued() * settings.tokenMillis() * MEAN_REMAINING_OUTPUT_TOKENS / settings.slots();
             return tokens * 1_000 / settings.prefillTokensPerSecond() * faults.straggleFactor() + slotMillis;
         });
     }
@@ -109,9 +110,9 @@
         if (path.startsWith("/lab/")) {
             serveLab(exchange);
         } else if (path.startsWith("/kept/")) {
-            serveKept(exchange);
-        } else if (path.startsWith(STREAMS)) {
-            serveStream(exchange, path.substring(STREAMS.length()));
+            serveBlockStore(exchange);
+        } else if (path.startsWith(STREAMS_PATH)) {
+            serveStream(exchange, path.substring(STREAMS_PATH.length()));
         } else {
             serveEngine(exchange);
         }
@@ -121,59 +122,60 @@
         exchange.withHeader("X-Engine-Incarnation", core.incarnation())
                 .withHeader("X-Weights-Version", core.state().weightsVersion());
         switch (exchange.method() + " " + exchange.path()) {
-            case "POST /v1/chat/completions" -> complete(exchange);
-            case "GET /load" -> core.load().thenAccept(report -> exchange.answer(200, report));
+            case "POST /v1/chat/completions" -> serveCompletion(exchange);
+            case "GET /load" -> core.load().thenAccept(report -> exchange.respond(200, report));
             case "GET /events" -> streamEvents(exchange);
-            case "POST /kv/export" -> copyBlocks(exchange, core::export, "exported");
-            case "POST /kv/import" -> copyBlocks(exchange, core::importBlocks, "imported");
+            case "POST /kv/export" -> serveBlockCopy(exchange, core::export, "exported");
+            case "POST /kv/import" -> serveBlockCopy(exchange, core::importBlocks, "imported");
             case "GET /orders" -> core.execute(
-                    () -> exchange.answer(200, core.state().toJson()));
-            case "POST /orders" -> order(exchange);
-            default -> exchange.answerError(404, "not_found", "no such path: " + exchange.path());
+                    () -> exchange.respond(200, core.state().toJson()));
+            case "POST /orders" -> serveOrder(exchange);
+            default -> exchange.respondError(404, "not_found", "no such path: " + exchange.path());
         }
     }
 
-    private void complete(Exchange exchange) {
+    private void serveCompletion(Exchange exchange) {
         String requestId = requestIdOf(exchange);
         GenerationRequest request = GenerationRequest.parse(requestId, exchange.json());
         GenerationRequest previous = lastRequest.getAndSet(request);
-        String answeredId = requestId;
-        if (previous != null && faults.takeCrossedAnswer()) {
-            // The caller gets the answer to an earlier request under that request's identity.
+        String responseId = requestId;
+        if (previous != null && faults.takeMisdeliveredResponse()) {
+            // The caller gets the response to the previous request, with the id of that request.
             core.counters().add("crossedAnswers", 1);
-            answeredId = previous.requestId();
+            responseId = previous.requestId();
             request = previous.withIdentity(requestId, request.streamed());
         }
-        long lateMillis = faults.takeLateMillis();
-        if (lateMillis > 0) {
+        long responseDelayMillis = faults.takeResponseDelayMillis();
+        if (responseDelayMillis > 0) {
             core.counters().add("lateAnswers", 1);
-            GenerationRequest lateRequest = request;
-            String lateId = answeredId;
-            server.schedule(() -> run(exchange, lateRequest, lateId), lateMillis);
+            GenerationRequest delayedRequest = request;
+            String delayedResponseId = responseId;
+            server.schedule(() -> submit(exchange, delayedRequest, delayedResponseId), responseDelayMillis);
         } else {
-            run(exchange, request, answeredId);
+            submit(exchange, request, responseId);
         }
     }
 
-    private void run(Exchange exchange, GenerationRequest request, String answeredId) {
-        exchange.withHeader(REQUEST_ID, answeredId);
+    private void submit(Exchange exchange, GenerationRequest request, String responseId) {
+        exchange.withHeader(REQUEST_ID_HEADER, responseId);
         CompletionWriter writer =
-                new CompletionWriter(exchange, answeredId, core.state().model(), request.streamed());
+                new CompletionWriter(exchange, responseId, core.state().model(), request.streamed());
         String expectedIncarnation = exchange.header("X-Expect-Incarnation");
         String expectedWeights = exchange.header("X-Expect-Weights");
         core.submit(
                         request,
                         expectedIncarnation,
                         expectedWeights,
-                        accepted -> open(exchange, writer, request, accepted))
-                .whenComplete((accepted, failure) -> refuse(exchange, failure));
+                        accepted -> openWriter(exchange, writer, request, accepted))
+                .whenComplete((accepted, failure) -> sendRefusal(exchange, failure));
     }
 
-    private TokenReader open(Exchange exchange, CompletionWriter writer, GenerationRequest request, Accepted accepted) {
+    private TokenReader openWriter(
+            Exchange exchange, CompletionWriter writer, GenerationRequest request, Acceptance accepted) {
         exchange.withHeader("X-Engine-Incarnation", accepted.incarnation())
                 .withHeader("X-Weights-Version", accepted.weightsVersion());
         openWriters.add(writer);
-        TokenReader reader = new ForgettingReader(writer, () -> openWriters.remove(writer));
+        TokenReader reader = new UnregisteringReader(writer, () -> openWriters.remove(writer));
         writer.open(() -> {
             openWriters.remove(writer);
             core.detach(request.requestId(), reader);
@@ -181,31 +183,34 @@
         return reader;
     }
 
-    private static void refuse(Exchange exchange, Throwable failure) {
+    private static void sendRefusal(Exchange exchange, Throwable failure) {
         if (failure instanceof EngineRefusal refusal) {
             Reason reason = refusal.reason();
-            exchange.answerError(reason.status(), reason.code(), "the request was refused before it ran");
+            exchange.respondError(reason.status(), reason.code(), "the engine refused the request before it ran");
         }
     }
 
     private void serveStream(Exchange exchange, String requestId) {
         if (exchange.method().equals("DELETE")) {
-            core.cancel(requestId).thenAccept(found -> exchange.answer(found ? 200 : 404, emptyNode()));
+            core.cancel(requestId).thenAccept(found -> exchange.respond(found ? 200 : 404, emptyNode()));
             return;
         }
         int fromOffset = Integer.parseInt(exchange.query("from", "0"));
-        exchange.withHeader(REQUEST_ID, requestId).withHeader("X-Engine-Incarnation", core.incarnation());
+        exchange.withHeader(REQUEST_ID_HEADER, requestId).withHeader("X-Engine-Incarnation", core.incarnation());
         CompletionWriter writer =
                 new CompletionWriter(exchange, requestId, core.state().model(), true);
         core.resume(requestId, fromOffset, () -> {
                     openWriters.add(writer);
-                    TokenReader reader = new ForgettingReader(writer, () -> openWriters.remove(writer));
+                    TokenReader reader = new UnregisteringReader(writer, () -> openWriters.remove(writer));
                     writer.open(() -> core.detach(requestId, reader));
                     return reader;
                 })
                 .thenAccept(found -> {
                     if (!found) {
-                        exchange.answerError(404, "stream_not_found", "the stream is not held from this offset on");
+                        exchange.respondError(
+                                404,
+                                "stream_not_found",
+                                "the engine holds no output of this stream from the requested offset on");
                     }
                 });
     }
@@ -219,11 +224,14 @@
         core.events().subscribe(fromSequence, subscriber);
     }
 
-    private void copyBlocks(Exchange exchange, BlockCopy copy, String resultName) {
+    private void serveBlockCopy(Exchange exchange, BlockCopy copy, String resultName) {
         ObjectNode body = exchange.json();
         String weightsVersion = body.path("weights_version").asText(core.state().weightsVersion());
         if (!weightsVersion.equals(core.state().weightsVersion())) {
-            exchange.answerError(409, Reason.WEIGHTS_MISMATCH.code(), "other weights are loaded");
+            exchange.respondError(
+                    409,
+                    Reason.WEIGHTS_MISMATCH.code(),
+                    "the engine has loaded another weights version than the request names");
             return;
         }
         List<Long> digests = new ArrayList<>();
@@ -234,21 +242,22 @@
                 throw new BadRequestException("not a hexadecimal digest: " + digest.asText());
             }
         }
-        copy.run(body.path("salt").asText(""), digests).whenComplete((count, failure) -> {
+        copy.copy(body.path("salt").asText(""), digests).whenComplete((count, failure) -> {
             if (failure == null) {
-                exchange.answer(200, emptyNode().put(resultName, count));
+                exchange.respond(200, emptyNode().put(resultName, count));
             } else {
-                exchange.answerError(503, "store_unavailable", String.valueOf(failure.getMessage()));
+                exchange.respondError(503, "store_unavailable", String.valueOf(failure.getMessage()));
             }
         });
     }
 
-    private void order(Exchange exchange) {
+    private void serveOrder(Exchange exchange) {
         orders.accept(exchange.json()).thenAccept(inForce -> {
             if (inForce) {
-                exchange.answer(200, core.state().toJson());
+                exchange.respond(200, core.state().toJson());
             } else {
-                exchange.answerError(409, "stale_fencing_number", "a newer order was accepted");
+                exchange.respondError(
+                        409, "stale_fencing_number", "an order with a higher fencing number was accepted before");
             }
         });
     }
@@ -257,7 +266,7 @@
         switch (exchange.path()) {
             case "/lab/faults" -> {
                 ObjectNode change = exchange.method().equals("PUT") ? exchange.json() : emptyNode();
-                exchange.answer(200, faultsAfter(change));
+                exchange.respond(200, faultsAfter(change));
                 if (!change.isEmpty()) {
                     applyFaults(change);
                 }
@@ -265,35 +274,35 @@
             case "/lab/counters" -> core.load().thenAccept(report -> {
                 ObjectNode node = counters();
                 node.put("running", report.path("running").asInt());
-                exchange.answer(200, node.put("incarnation", core.incarnation()));
+                exchange.respond(200, node.put("incarnation", core.incarnation()));
             });
-            default -> exchange.answerError(404, "not_found", "no such path: " + exchange.path());
+            default -> exchange.respondError(404, "not_found", "no such path: " + exchange.path());
         }
     }
 
-    // The answer leaves before the change takes effect, because a crash drops the connection that asked for it.
+    // Computed in advance: the response is sent before the change takes effect, because a crash drops its connection.
     private ObjectNode faultsAfter(ObjectNode change) {
         return faults.toJson(EngineCore.nowMillis()).setAll(change);
     }
 
-    private void serveKept(Exchange exchange) {
+    private void serveBlockStore(Exchange exchange) {
         ObjectNode body = exchange.json();
         switch (exchange.path()) {
-            case "/kept/save" -> keptStore
-                    .save(RemoteKeptStore.keysOf(body))
-                    .thenAccept(done -> exchange.answer(200, emptyNode()));
-            case "/kept/find" -> keptStore
-                    .find(RemoteKeptStore.keysOf(body))
-                    .thenAccept(found -> exchange.answer(200, RemoteKeptStore.body(found)));
-            case "/kept/loads" -> keptStore
-                    .changeLoads(body.path("delta").asInt())
-                    .thenAccept(loads -> exchange.answer(200, emptyNode().put("loads", loads)));
-            default -> exchange.answerError(404, "not_found", "no such path: " + exchange.path());
+            case "/kept/save" -> blockStore
+                    .save(RemoteKvBlockStore.keysOf(body))
+                    .thenAccept(done -> exchange.respond(200, emptyNode()));
+            case "/kept/find" -> blockStore
+                    .find(RemoteKvBlockStore.keysOf(body))
+                    .thenAccept(found -> exchange.respond(200, RemoteKvBlockStore.body(found)));
+            case "/kept/loads" -> blockStore
+                    .addRunningLoads(body.path("delta").asInt())
+                    .thenAccept(loads -> exchange.respond(200, emptyNode().put("loads", loads)));
+            default -> exchange.respondError(404, "not_found", "no such path: " + exchange.path());
         }
     }
 
     private static String requestIdOf(Exchange exchange) {
-        String header = exchange.header(REQUEST_ID);
+        String header = exchange.header(REQUEST_ID_HEADER);
         return header.isEmpty() ? "engine-" + Long.toHexString(System.nanoTime()) : header;
     }
 
@@ -301,13 +310,13 @@
         return JsonNodeFactory.instance.objectNode();
     }
 
-    /** Copies blocks between the cache and the store. */
+    /** Copies blocks between the prefix cache and the block store. */
     private interface BlockCopy {
-        CompletableFuture<Integer> run(String salt, List<Long> digests);
+        CompletableFuture<Integer> copy(String salt, List<Long> digests);
     }
 
-    /** Forgets the writer at the end of its output. */
-    private record ForgettingReader(TokenReader target, Runnable forget) implements TokenReader {
+    /** Passes on all output and unregisters the writer when it ends. */
+    private record UnregisteringReader(TokenReader target, Runnable unregister) implements TokenReader {
         @Override
         public void onToken(int offset, String text) {
             target.onToken(offset, text);
@@ -315,13 +324,13 @@
 
         @Override
         public void onEnd(GenerationResult result) {
-            forget.run();
+            unregister.run();
             target.onEnd(result);
         }
 
         @Override
         public void onAbort() {
-            forget.run();
+            unregister.run();
             target.onAbort();
         }
     }
--- a/agatelane-lab/src/main/java/io/agatelane/lab/engine/EngineSettings.java
+++ b/agatelane-lab/src/main/java/io/agatelane/lab/engine/EngineSettings.java
@@ -6,12 +6,12 @@
  * @param slots requests that run at once
  * @param prefillTokensPerSecond rate at which uncached prompt tokens are computed, one request at a time
  * @param tokenMillis time between two output tokens of one request
- * @param cacheBlocks blocks kept in the prefix cache
- * @param maxWaiting requests that may queue before new ones get 503
- * @param loadLagMillis least age of a load report
- * @param loadWeightsMillis time to load other weights while at most two engines load
+ * @param cacheBlocks capacity of the prefix cache in blocks
+ * @param maxWaiting requests that may wait for a slot before new ones get status 503
+ * @param loadLagMillis minimum age of a load report
+ * @param loadWeightsMillis time to load other weights while at most two engines of the fleet load
  * @param importMillisPerBlock time to copy one block from the store of saved KV cache
- * @param orphanMillis time for which a request without a reader keeps running
+ * @param orphanTimeoutMillis time for which a request keeps running after its reader has disconnected
  * @param checksFencing whether orders with an old fencing number are refused
  */
 public record EngineSettings(
@@ -25,9 +25,9 @@
         long loadLagMillis,
         long loadWeightsMillis,
         double importMillisPerBlock,
-        long orphanMillis,
+        long orphanTimeoutMillis,
         boolean checksFencing) {
-    /** A small engine whose prefill is slow enough that a lost prefix is visible in the time to first token. */
+    /** Returns a small engine; its prefill is so slow that a missing prefix shows in the time to first token. */
     public static EngineSettings of(String model, String weightsVersion) {
         return new EngineSettings(model, weightsVersion, 8, 40_000, 4, 2_048, 1_000, 0, 2_000, 0.5, 5_000, true);
     }
@@ -45,7 +45,7 @@
                 loadLagMillis,
                 loadWeightsMillis,
                 importMillisPerBlock,
-                orphanMillis,
+                orphanTimeoutMillis,
                 checksFencing);
     }
 
@@ -62,7 +62,7 @@
                 loadLagMillis,
                 loadWeightsMillis,
                 importMillisPerBlock,
-                orphanMillis,
+                orphanTimeoutMillis,
                 checksFencing);
     }
 
@@ -79,7 +79,7 @@
                 loadLagMillis,
                 loadWeightsMillis,
                 importMillisPerBlock,
-                orphanMillis,
+                orphanTimeoutMillis,
                 checksFencing);
     }
 
@@ -96,7 +96,7 @@
                 newLoadLagMillis,
                 newLoadWeightsMillis,
                 importMillisPerBlock,
-                orphanMillis,
+                orphanTimeoutMillis,
                 newChecksFencing);
     }
 }
--- a/agatelane-lab/src/main/java/io/agatelane/lab/engine/Generation.java
+++ b/agatelane-lab/src/main/java/io/agatelane/lab/engine/Generation.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** State of one request inside the engine; owned by the engine's loop. */
+/** State of one accepted request; confined to the engine's loop. */
 final class Generation {
     private static final long NOT_FINISHED = -1;
 
@@ -13,13 +13,13 @@
     final long sequence;
     private final List<String> output = new ArrayList<>();
     private TokenReader reader;
-    private int delivered;
+    private int deliveredTokens;
     private int cachedTokens = -1;
     private int prefillTokensLeft;
     private boolean decoding;
     private GenerationResult result;
     private long finishedMillis = NOT_FINISHED;
-    private long orphanedMillis = NOT_FINISHED;
+    private long readerGoneMillis = NOT_FINISHED;
 
     Generation(
             GenerationRequest request, TokenSource tokens, String weightsVersion, long sequence, TokenReader reader) {
@@ -30,7 +30,7 @@
         this.reader = reader;
     }
 
-    /** Whether the cache has not been looked up yet. */
+    /** Returns whether prefill has not started, so that the cached tokens are not known yet. */
     boolean isNew() {
         return cachedTokens < 0;
     }
@@ -44,7 +44,7 @@
         return prefillTokensLeft;
     }
 
-    void prefilled(int count) {
+    void recordPrefilled(int count) {
         prefillTokensLeft -= count;
     }
 
@@ -72,8 +72,8 @@
         return request.resumeTokens() + output.size();
     }
 
-    /** Produces one token; returns false when the generation has reached its length. */
-    boolean produce() {
+    /** Produces one token; returns false when the generation has reached its maximum length. */
+    boolean produceToken() {
         if (nextOffset() < request.maxTokens()) {
             output.add(tokens.token(nextOffset()));
             deliver();
@@ -87,8 +87,8 @@
         deliver();
     }
 
-    /** Whether the output up to an offset exists. */
-    boolean covers(int fromOffset) {
+    /** Returns whether the output can be read from an offset on. */
+    boolean isReadableFrom(int fromOffset) {
         return fromOffset >= request.resumeTokens() && fromOffset <= nextOffset();
     }
 
@@ -98,8 +98,8 @@
             reader.onAbort();
         }
         reader = newReader;
-        orphanedMillis = NOT_FINISHED;
-        delivered = fromOffset - request.resumeTokens();
+        readerGoneMillis = NOT_FINISHED;
+        deliveredTokens = fromOffset - request.resumeTokens();
         deliver();
     }
 
@@ -107,12 +107,12 @@
     void detach(TokenReader oldReader, long nowMillis) {
         if (reader == oldReader) {
             reader = null;
-            orphanedMillis = nowMillis;
+            readerGoneMillis = nowMillis;
         }
     }
 
-    boolean isOrphanSince(long beforeMillis) {
-        return orphanedMillis != NOT_FINISHED && orphanedMillis <= beforeMillis;
+    boolean isOrphanedSince(long beforeMillis) {
+        return readerGoneMillis != NOT_FINISHED && readerGoneMillis <= beforeMillis;
     }
 
     void abort() {
@@ -126,9 +126,9 @@
         if (reader == null) {
             return;
         }
-        while (delivered < output.size()) {
-            reader.onToken(request.resumeTokens() + delivered, output.get(delivered));
-            delivered++;
+        while (deliveredTokens < output.size()) {
+            reader.onToken(request.resumeTokens() + deliveredTokens, output.get(deliveredTokens));
+            deliveredTokens++;
         }
         if (result != null) {
             TokenReader last = reader;
--- a/agatelane-lab/src/main/java/io/agatelane/lab/engine/GenerationRequest.java
+++ b/agatelane-lab/src/main/java/io/agatelane/lab/engine/GenerationRequest.java
@@ -7,9 +7,10 @@
 import io.agatelane.lab.http.BadRequestException;
 
 /**
- * A chat completion as the engine sees it.
+ * A parsed request for a chat completion.
  *
- * @param resumeTokens output tokens that were generated before, of which {@code resumeText} is the text
+ * @param resumeText text of the output tokens that were generated before this request
+ * @param resumeTokens number of these tokens
  */
 public record GenerationRequest(
         String requestId,
@@ -27,12 +28,12 @@
     /**
      * Parses the body of a request.
      *
-     * @throws BadRequestException when a field is missing or has the wrong type
+     * @throws BadRequestException when there are no messages or a token count is out of range
      */
     public static GenerationRequest parse(String requestId, ObjectNode body) {
         JsonNode messages = body.path("messages");
         if (!messages.isArray() || messages.isEmpty()) {
-            throw new BadRequestException("messages is not a non-empty array");
+            throw new BadRequestException("messages must be a non-empty array");
         }
         String salt = body.path("cache_salt").asText("");
         PromptDigester digester = new PromptDigester(salt);
@@ -47,7 +48,7 @@
                 body.path("max_tokens").asInt(body.path("max_completion_tokens").asInt(DEFAULT_MAX_TOKENS));
         int resumeTokens = body.path("resume_tokens").asInt(0);
         if (maxTokens < 1 || resumeTokens < 0) {
-            throw new BadRequestException("max_tokens or resume_tokens is out of range");
+            throw new BadRequestException("max_tokens must be at least 1 and resume_tokens must not be negative");
         }
         return new GenerationRequest(
                 requestId,
@@ -62,7 +63,7 @@
                 resumeTokens);
     }
 
-    /** Returns a copy for another request's connection. */
+    /** Returns a copy of this prompt under another request id and response format. */
     GenerationRequest withIdentity(String newRequestId, boolean newStreamed) {
         return new GenerationRequest(
                 newRequestId,
--- a/agatelane-lab/src/main/java/io/agatelane/lab/engine/KeptStore.java
+++ b/agatelane-lab/src/main/java/io/agatelane/lab/engine/KeptStore.java
@@ -3,14 +3,14 @@
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 
-/** Store of saved KV cache, and the count of weight loads that run at once over the fleet. */
+/** Fleet-wide store of saved KV-cache blocks; also counts the weight loads that run at once in the fleet. */
 public interface KeptStore {
-    /** Saves blocks. */
+    /** Saves the blocks with these keys. */
     CompletableFuture<Void> save(List<String> keys);
 
-    /** Returns the keys that are saved. */
+    /** Returns those of the keys whose blocks are saved. */
     CompletableFuture<List<String>> find(List<String> keys);
 
-    /** Reports the start (1) or end (-1) of a weight load and returns the number of loads that run now. */
-    CompletableFuture<Integer> changeLoads(int delta);
+    /** Adds to the number of running weight loads (1 for a start, -1 for an end) and returns the new number. */
+    CompletableFuture<Integer> addRunningLoads(int delta);
 }
--- a/agatelane-lab/src/main/java/io/agatelane/lab/engine/EngineState.java
+++ b/agatelane-lab/src/main/java/io/agatelane/lab/engine/LabEngineState.java
@@ -4,28 +4,28 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
 /**
- * What orders can change.
+ * Model, weights and role of an engine, which orders can change.
  *
  * @param loading whether weights are being loaded, during which requests are refused
  */
-record EngineState(
+record LabEngineState(
         long fencingNumber, String model, String weightsVersion, String adapter, String role, boolean loading) {
-    static EngineState initial(EngineSettings settings) {
-        return new EngineState(0, settings.model(), settings.weightsVersion(), "", "serving", false);
+    static LabEngineState initial(EngineSettings settings) {
+        return new LabEngineState(0, settings.model(), settings.weightsVersion(), "", "serving", false);
     }
 
-    boolean sameWeights(EngineState other) {
+    boolean hasSameWeights(LabEngineState other) {
         return model.equals(other.model)
                 && weightsVersion.equals(other.weightsVersion)
                 && adapter.equals(other.adapter);
     }
 
-    EngineState withFencing(long newFencingNumber) {
-        return new EngineState(newFencingNumber, model, weightsVersion, adapter, role, loading);
+    LabEngineState withFencingNumber(long newFencingNumber) {
+        return new LabEngineState(newFencingNumber, model, weightsVersion, adapter, role, loading);
     }
 
-    EngineState withLoading(boolean newLoading) {
-        return new EngineState(fencingNumber, model, weightsVersion, adapter, role, newLoading);
+    LabEngineState withLoading(boolean newLoading) {
+        return new LabEngineState(fencingNumber, model, weightsVersion, adapter, role, newLoading);
     }
 
     ObjectNode toJson() {
--- a/agatelane-lab/src/main/java/io/agatelane/lab/engine/LocalKeptStore.java
+++ b/agatelane-lab/src/main/java/io/agatelane/lab/engine/LocalKeptStore.java
@@ -7,7 +7,7 @@
 import java.util.Set;
 import java.util.concurrent.CompletableFuture;
 
-/** Store of saved KV cache in this process; drops the oldest blocks over its limit. */
+/** Store of KV-cache blocks in this process; drops the oldest blocks over its limit. */
 public final class LocalKeptStore implements KeptStore {
     private final Set<String> saved;
     private int loads;
@@ -36,7 +36,7 @@
     }
 
     @Override
-    public synchronized CompletableFuture<Integer> changeLoads(int delta) {
+    public synchronized CompletableFuture<Integer> addRunningLoads(int delta) {
         loads = Math.max(0, loads + delta);
         return CompletableFuture.completedFuture(loads);
     }
--- a/agatelane-lab/src/main/java/io/agatelane/lab/engine/OrderDesk.java
+++ b/agatelane-lab/src/main/java/io/agatelane/lab/engine/OrderExecutor.java
@@ -3,18 +3,18 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.concurrent.CompletableFuture;
 
-/** Carries out orders: changes of model, weights, adapter or role. */
-@SuppressWarnings("FutureReturnValueIgnored") // Each outcome reaches the caller through its own future.
-final class OrderDesk {
+/** Executes orders, which change model, weights, adapter or role of the engine. */
+@SuppressWarnings("FutureReturnValueIgnored") // Each result reaches the caller through its own future.
+final class OrderExecutor {
     private final EngineCore core;
     private final EngineSettings settings;
-    private final KeptStore keptStore;
-    private int loads;
+    private final KeptStore blockStore;
+    private int runningLoads;
 
-    OrderDesk(EngineCore core, EngineSettings settings, KeptStore keptStore) {
+    OrderExecutor(EngineCore core, EngineSettings settings, KeptStore blockStore) {
         this.core = core;
         this.settings = settings;
-        this.keptStore = keptStore;
+        this.blockStore = blockStore;
         core.onReset(this::reset);
     }
 
@@ -26,47 +26,47 @@
     }
 
     private void reset() {
-        if (loads > 0) {
-            keptStore.changeLoads(-loads);
-            loads = 0;
+        if (runningLoads > 0) {
+            blockStore.addRunningLoads(-runningLoads);
+            runningLoads = 0;
         }
     }
 
     private void start(ObjectNode order, CompletableFuture<Boolean> outcome) {
         long fencingNumber = order.path("fencing_number").asLong();
-        EngineState current = core.state();
+        LabEngineState current = core.state();
         if (isStale(fencingNumber)) {
             core.counters().add("staleOrders", 1);
             outcome.complete(false);
             return;
         }
-        core.changeState(current.withFencing(Math.max(fencingNumber, current.fencingNumber())));
-        if (wanted(order, current).sameWeights(current)) {
-            core.changeState(wanted(order, core.state()));
+        core.changeState(current.withFencingNumber(Math.max(fencingNumber, current.fencingNumber())));
+        if (stateAfter(order, current).hasSameWeights(current)) {
+            core.changeState(stateAfter(order, core.state()));
             outcome.complete(true);
             return;
         }
-        loads++;
+        runningLoads++;
         core.counters().add("weightLoads", 1);
         core.changeState(core.state().withLoading(true));
-        keptStore.changeLoads(1).whenComplete((running, failure) -> {
-            // Loads share the weight store; from the third one on each takes longer.
-            double factor = failure == null ? Math.max(1, running / 2.0) : 1;
-            core.after(settings.loadWeightsMillis() * factor, () -> loaded(order, outcome));
+        blockStore.addRunningLoads(1).whenComplete((fleetLoads, failure) -> {
+            // Loads share the weight store: while more than two run at once, each takes longer.
+            double factor = failure == null ? Math.max(1, fleetLoads / 2.0) : 1;
+            core.schedule(settings.loadWeightsMillis() * factor, () -> finishLoad(order, outcome));
         });
     }
 
-    private void loaded(ObjectNode order, CompletableFuture<Boolean> outcome) {
-        loads--;
-        keptStore.changeLoads(-1);
-        EngineState current = core.state();
+    private void finishLoad(ObjectNode order, CompletableFuture<Boolean> outcome) {
+        runningLoads--;
+        blockStore.addRunningLoads(-1);
+        LabEngineState current = core.state();
         if (isStale(order.path("fencing_number").asLong())) {
-            core.changeState(current.withLoading(loads > 0));
+            core.changeState(current.withLoading(runningLoads > 0));
             outcome.complete(false);
             return;
         }
-        // An engine that does not check fencing numbers takes whichever load ends last.
-        core.changeState(wanted(order, current).withLoading(loads > 0));
+        // Without the check of fencing numbers, the load that ends last determines the weights.
+        core.changeState(stateAfter(order, current).withLoading(runningLoads > 0));
         outcome.complete(true);
     }
 
@@ -74,8 +74,8 @@
         return settings.checksFencing() && fencingNumber < core.state().fencingNumber();
     }
 
-    private static EngineState wanted(ObjectNode order, EngineState current) {
-        return new EngineState(
+    private static LabEngineState stateAfter(ObjectNode order, LabEngineState current) {
+        return new LabEngineState(
                 current.fencingNumber(),
                 order.path("model").asText(current.model()),
                 order.path("weights_version").asText(current.weightsVersion()),
--- a/agatelane-lab/src/main/java/io/agatelane/lab/engine/PrefixCache.java
+++ b/agatelane-lab/src/main/java/io/agatelane/lab/engine/PrefixCache.java
@@ -9,9 +9,9 @@
 import java.util.function.BiConsumer;
 
 /**
- * Least-recently-used cache of prompt blocks.
+ * Cache of prompt blocks that evicts the least recently used ones.
  *
- * <p>A digest includes the salt, so that a block is only found by requests with the same salt.
+ * <p>A digest includes the salt, so that only requests with the same salt find a block.
  */
 final class PrefixCache {
     private final int capacity;
@@ -23,23 +23,23 @@
         this.onEvicted = onEvicted;
     }
 
-    /** Number of leading blocks that are cached; marks them as used. */
+    /** Returns the number of leading blocks that are cached and marks them as used. */
     int match(String salt, PromptDigests digests) {
         int matched = 0;
         while (matched < digests.blockCount() && salt.equals(saltByDigest.get(digests.digest(matched)))) {
             matched++;
         }
-        // The deepest block is touched first, so that a shared prefix is evicted after what follows it.
+        // Marks the last block as used first, so that a shared prefix is evicted after the blocks that follow it.
         for (int i = matched - 1; i >= 0; i--) {
             saltByDigest.get(digests.digest(i));
         }
         return matched;
     }
 
-    /** Number of leading blocks that are cached; does not change the order of eviction. */
+    /** Returns the number of leading blocks that are cached without changing the order of eviction. */
     int peek(String salt, PromptDigests digests) {
         int matched = 0;
-        // Looking a key up would mark it as used, because the map is in access order.
+        // Uses containsKey because get would mark the block as used: the map is in access order.
         while (matched < digests.blockCount() && saltByDigest.containsKey(digests.digest(matched))) {
             matched++;
         }
--- a/agatelane-lab/src/main/java/io/agatelane/lab/engine/RemoteKeptStore.java
+++ b/agatelane-lab/src/main/java/io/agatelane/lab/engine/RemoteKvBlockStore.java
@@ -9,31 +9,31 @@
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 
-/** Store kept by another engine command. */
-final class RemoteKeptStore implements KeptStore {
+/** Client of the block store in another engine process. */
+final class RemoteKvBlockStore implements KeptStore {
     private final LabClient client;
     private final String url;
 
-    RemoteKeptStore(LabClient client, String url) {
+    RemoteKvBlockStore(LabClient client, String url) {
         this.client = client;
         this.url = url;
     }
 
     @Override
     public CompletableFuture<Void> save(List<String> keys) {
-        return client.post(url + "/kept/save", body(keys)).thenApply(answer -> null);
+        return client.post(url + "/kept/save", body(keys)).thenApply(response -> null);
     }
 
     @Override
     public CompletableFuture<List<String>> find(List<String> keys) {
-        return client.post(url + "/kept/find", body(keys)).thenApply(answer -> keysOf(answer));
+        return client.post(url + "/kept/find", body(keys)).thenApply(response -> keysOf(response));
     }
 
     @Override
-    public CompletableFuture<Integer> changeLoads(int delta) {
+    public CompletableFuture<Integer> addRunningLoads(int delta) {
         ObjectNode body = JsonNodeFactory.instance.objectNode().put("delta", delta);
         return client.post(url + "/kept/loads", body)
-                .thenApply(answer -> answer.path("loads").asInt());
+                .thenApply(response -> response.path("loads").asInt());
     }
 
     static ObjectNode body(List<String> keys) {
--- a/agatelane-lab/src/main/java/io/agatelane/lab/engine/TokenReader.java
+++ b/agatelane-lab/src/main/java/io/agatelane/lab/engine/TokenReader.java
@@ -1,13 +1,13 @@
 package io.agatelane.lab.engine;
 
-/** Receives the output of a generation in order. Calls come from the engine's loop. */
+/** Receives the output of a generation in order, on the engine's loop. */
 public interface TokenReader {
-    /** One token. */
+    /** Receives the output token at an offset. */
     void onToken(int offset, String text);
 
-    /** All tokens were delivered. */
+    /** Called after the last token. */
     void onEnd(GenerationResult result);
 
-    /** The generation ended without a result: cancelled, or the engine crashed. */
+    /** Called when output stops without a result: a cancel, a crash, or a newer reader of the same stream. */
     void onAbort();
 }
--- a/agatelane-lab/src/main/java/io/agatelane/lab/engine/package-info.java
+++ b/agatelane-lab/src/main/java/io/agatelane/lab/engine/package-info.java
@@ -1,2 +1,2 @@
-/** Stand-in of a model engine. */
+/** Stand-in for a model engine (model server). */
 package io.agatelane.lab.engine;
--- a/agatelane-lab/src/main/java/io/agatelane/lab/http/BadRequestException.java
+++ b/agatelane-lab/src/main/java/io/agatelane/lab/http/BadRequestException.java
@@ -1,6 +1,6 @@
 package io.agatelane.lab.http;
 
-/** A request that a stand-in cannot understand; answered with 400. */
+/** Thrown when a stand-in cannot parse a request; the client gets status 400. */
 public final class BadRequestException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
--- a/agatelane-lab/src/main/java/io/agatelane/lab/http/Exchange.java
+++ b/agatelane-lab/src/main/java/io/agatelane/lab/http/Exchange.java
@@ -16,9 +16,9 @@
 import org.eclipse.jetty.util.Callback;
 import org.eclipse.jetty.util.Fields;
 
-/** One request with its whole body, and the ways to answer it. */
+/** An HTTP request with its whole body, and the methods that send its response. */
 public final class Exchange {
-    /** Shared JSON reader and writer. */
+    /** JSON mapper that all lab code shares. */
     public static final ObjectMapper MAPPER = new ObjectMapper();
 
     private final Request request;
@@ -41,19 +41,19 @@
         return request.getHttpURI().getDecodedPath();
     }
 
-    /** Returns a header; empty when it is missing. */
+    /** Returns a request header; empty when it is missing. */
     public String header(String name) {
         String value = request.getHeaders().get(name);
         return value == null ? "" : value;
     }
 
-    /** Returns a query parameter; the fallback when it is missing. */
+    /** Returns a query parameter, or the fallback when it is missing. */
     public String query(String name, String fallback) {
         Fields.Field field = Request.extractQueryParameters(request).get(name);
         return field == null ? fallback : field.getValue();
     }
 
-    /** All request headers as one object. */
+    /** Returns all request headers as one JSON object. */
     public ObjectNode headers() {
         ObjectNode node = JsonNodeFactory.instance.objectNode();
         for (HttpField field : request.getHeaders()) {
@@ -94,27 +94,27 @@
         return this;
     }
 
-    /** Sends a JSON answer. */
-    public void answer(int status, JsonNode node) {
-        answer(status, "application/json", node.toString().getBytes(StandardCharsets.UTF_8));
+    /** Sends a JSON response. */
+    public void respond(int status, JsonNode node) {
+        respond(status, "application/json", node.toString().getBytes(StandardCharsets.UTF_8));
     }
 
-    /** Sends a whole answer. */
-    public void answer(int status, String contentType, byte[] content) {
+    /** Sends a whole response. */
+    public void respond(int status, String contentType, byte[] content) {
         response.setStatus(status);
         response.getHeaders().put(HttpHeader.CONTENT_TYPE, contentType);
         response.getHeaders().put(HttpHeader.CONTENT_LENGTH, content.length);
         response.write(true, ByteBuffer.wrap(content), callback);
     }
 
-    /** Sends a JSON error {@code {"error":{"type":...,"message":...}}}. */
-    public void answerError(int status, String type, String message) {
+    /** Sends an error response {@code {"error":{"type":...,"message":...}}}. */
+    public void respondError(int status, String type, String message) {
         ObjectNode node = JsonNodeFactory.instance.objectNode();
         node.putObject("error").put("type", type).put("message", message);
-        answer(status, node);
+        respond(status, node);
     }
 
-    /** Starts a streamed answer. */
+    /** Starts a streamed response. */
     public StreamWriter stream(int status, String contentType) {
         response.setStatus(status);
         response.getHeaders().put(HttpHeader.CONTENT_TYPE, contentType);
@@ -122,9 +122,9 @@
         return new StreamWriter(response, callback, this::close);
     }
 
-    /** Closes the connection without an answer. */
+    /** Closes the connection without a response. */
     public void close() {
         request.getConnectionMetaData().getConnection().getEndPoint().close();
-        callback.failed(new EOFException("closed by a fault control"));
+        callback.failed(new EOFException("a fault control closed the connection"));
     }
 }
--- a/agatelane-lab/src/main/java/io/agatelane/lab/http/LabClient.java
+++ b/agatelane-lab/src/main/java/io/agatelane/lab/http/LabClient.java
@@ -17,10 +17,10 @@
 import org.eclipse.jetty.io.ClientConnector;
 import org.eclipse.jetty.util.thread.QueuedThreadPool;
 
-/** JSON calls over one shared HTTP client. */
+/** Sends JSON requests over one shared HTTP client. */
 public final class LabClient implements AutoCloseable {
     private static final int MAX_CONNECTIONS_PER_DESTINATION = 2_048;
-    private static final int MAX_ANSWER_BYTES = 64 * 1024 * 1024;
+    private static final int MAX_RESPONSE_BYTES = 64 * 1024 * 1024;
 
     private final HttpClient http;
 
@@ -44,7 +44,7 @@
         }
     }
 
-    /** The client below, for calls that read streams. */
+    /** Returns the underlying HTTP client, for calls that read streams. */
     public HttpClient http() {
         return http;
     }
@@ -64,26 +64,26 @@
         return call(HttpMethod.PUT, url, body, Map.of(), 10_000).thenApply(LabClient::requireOk);
     }
 
-    /** Sends a request and completes with the whole answer, whatever its status. */
+    /** Sends a request and completes with the whole response, whatever its status. */
     public CompletableFuture<Answer> call(
             HttpMethod method, String url, ObjectNode body, Map<String, String> headers, long timeoutMillis) {
-        CompletableFuture<Answer> answer = new CompletableFuture<>();
+        CompletableFuture<Answer> response = new CompletableFuture<>();
         Request request = http.newRequest(url).method(method).timeout(timeoutMillis, TimeUnit.MILLISECONDS);
         request.headers(fields -> headers.forEach(fields::put));
         if (body != null) {
             request.body(new StringRequestContent("application/json", body.toString()));
         }
-        request.send(new BufferingResponseListener(MAX_ANSWER_BYTES) {
+        request.send(new BufferingResponseListener(MAX_RESPONSE_BYTES) {
             @Override
             public void onComplete(Result result) {
                 if (result.isFailed()) {
-                    answer.completeExceptionally(result.getFailure());
+                    response.completeExceptionally(result.getFailure());
                 } else {
-                    answer.complete(new Answer(result.getResponse().getStatus(), getContent()));
+                    response.complete(new Answer(result.getResponse().getStatus(), getContent()));
                 }
             }
         });
-        return answer;
+        return response;
     }
 
     @Override
@@ -95,14 +95,14 @@
         }
     }
 
-    private static JsonNode requireOk(Answer answer) {
-        if (answer.status() != 200) {
-            throw new IllegalStateException("status " + answer.status() + ": " + answer.text());
+    private static JsonNode requireOk(Answer response) {
+        if (response.status() != 200) {
+            throw new IllegalStateException("status " + response.status() + ": " + response.text());
         }
-        return answer.json();
+        return response.json();
     }
 
-    /** A whole answer. */
+    /** Status and body of a response. */
     public static final class Answer {
         private final int status;
         private final byte[] content;
@@ -125,7 +125,7 @@
             try {
                 return Exchange.MAPPER.readTree(content);
             } catch (IOException e) {
-                throw new IllegalStateException("the answer is not JSON: " + text(), e);
+                throw new IllegalStateException("the response body is not JSON: " + text(), e);
             }
         }
     }
--- a/agatelane-lab/src/main/java/io/agatelane/lab/http/LabServer.java
+++ b/agatelane-lab/src/main/java/io/agatelane/lab/http/LabServer.java
@@ -21,13 +21,13 @@
 import org.eclipse.jetty.util.Promise;
 import org.eclipse.jetty.util.thread.QueuedThreadPool;
 
-/** HTTP server of one stand-in on a loopback address. */
+/** HTTP server of one stand-in, which listens on a loopback address. */
 @SuppressWarnings("FutureReturnValueIgnored") // Scheduled tasks are not awaited; their failures are logged.
 public final class LabServer implements AutoCloseable {
     private static final long LISTEN_RETRY_MILLIS = 100;
     private static final EventLog LOG = EventLog.of(LabServer.class);
     private static final int MAX_THREADS = 24;
-    // Watches and event streams can be quiet for minutes.
+    // Watches and event streams can be idle for minutes.
     private static final long IDLE_TIMEOUT_MILLIS = 600_000;
 
     private final Server server;
@@ -88,7 +88,7 @@
         }
     }
 
-    /** Drops every connection, refuses new ones for a time and listens again. */
+    /** Drops every connection, refuses new ones for {@code downMillis} and then listens again on the same port. */
     public void crash(long downMillis, Runnable beforeRestart) {
         scheduler.execute(() -> {
             stopListening();
@@ -137,21 +137,21 @@
 
     private void restart(Runnable beforeRestart) {
         beforeRestart.run();
-        listenAgain();
+        restartListening();
     }
 
-    // A client that connects to the closed port again and again may get that port as its own local port. Then the port
-    // is taken until that client gives up.
-    private void listenAgain() {
+    // Retries because the port can be in use: a client that keeps connecting to the closed port may get that port as
+    // its own local port, and holds it until it gives up.
+    private void restartListening() {
         try {
             connector.start();
         } catch (Exception e) {
             LOG.event("lab_restart_failed").with("cause", e).warning();
-            schedule(this::listenAgain, LISTEN_RETRY_MILLIS);
+            schedule(this::restartListening, LISTEN_RETRY_MILLIS);
         }
     }
 
-    /** Reads the whole body before the stand-in sees the request. */
+    /** Reads the whole body before it passes the request to the stand-in. */
     private static final class BodyHandler extends Handler.Abstract {
         private final Consumer<Exchange> handler;
 
@@ -179,10 +179,10 @@
             try {
                 handler.accept(exchange);
             } catch (BadRequestException e) {
-                exchange.answerError(400, "bad_request", e.getMessage());
+                exchange.respondError(400, "bad_request", e.getMessage());
             } catch (RuntimeException e) {
                 LOG.event("lab_request_failed").with("path", exchange.path()).error(e);
-                exchange.answerError(500, "internal", String.valueOf(e.getMessage()));
+                exchange.respondError(500, "internal", String.valueOf(e.getMessage()));
             }
         }
     }
--- a/agatelane-lab/src/main/java/io/agatelane/lab/http/StreamWriter.java
+++ b/agatelane-lab/src/main/java/io/agatelane/lab/http/StreamWriter.java
@@ -7,7 +7,7 @@
 import org.eclipse.jetty.util.BufferUtil;
 import org.eclipse.jetty.util.Callback;
 
-/** Writes a streamed answer; each piece is flushed at once, pieces that arrive during a write are sent together. */
+/** Writes a streamed response; flushes each chunk at once, and sends chunks that arrive during a write together. */
 public final class StreamWriter {
     private final Response response;
     private final Callback callback;
@@ -16,7 +16,7 @@
     private boolean writing;
     private boolean ended;
     private boolean finished;
-    private boolean silent;
+    private boolean discarding;
     private Runnable failureListener = () -> {};
 
     StreamWriter(Response response, Callback callback, Runnable closer) {
@@ -25,12 +25,12 @@
         this.closer = closer;
     }
 
-    /** Sets what runs when the reader is gone. */
+    /** Sets the action that runs when a write fails because the client has disconnected. */
     public synchronized void onFailure(Runnable listener) {
         failureListener = listener;
     }
 
-    /** Sends the status line and headers before the first piece. */
+    /** Sends the status line and headers before the first chunk. */
     public void sendHeaders() {
         synchronized (this) {
             if (writing || ended) {
@@ -38,37 +38,37 @@
             }
             writing = true;
         }
-        response.write(false, BufferUtil.EMPTY_BUFFER, Callback.from(this::written, this::failed));
+        response.write(false, BufferUtil.EMPTY_BUFFER, Callback.from(this::writeSucceeded, this::writeFailed));
     }
 
-    /** Sends a piece. Does nothing after the end. */
+    /** Sends a chunk. Does nothing after the end. */
     public void send(String text) {
         synchronized (this) {
-            if (ended || silent) {
+            if (ended || discarding) {
                 return;
             }
             pending.writeBytes(text.getBytes(StandardCharsets.UTF_8));
         }
-        pump();
+        writePending();
     }
 
-    /** Ends the answer after all pieces. */
+    /** Ends the response after all chunks. */
     public void end() {
         synchronized (this) {
-            if (ended || silent) {
+            if (ended || discarding) {
                 return;
             }
             ended = true;
         }
-        pump();
+        writePending();
     }
 
-    /** Drops all further pieces while the connection stays open. */
-    public synchronized void silence() {
-        silent = true;
+    /** Drops all further chunks while the connection stays open. */
+    public synchronized void discardFurtherOutput() {
+        discarding = true;
     }
 
-    /** Closes the connection in the middle of the answer. */
+    /** Closes the connection in the middle of the response. */
     public void abort() {
         synchronized (this) {
             if (finished) {
@@ -80,7 +80,7 @@
         closer.run();
     }
 
-    private void pump() {
+    private void writePending() {
         byte[] bytes;
         boolean last;
         synchronized (this) {
@@ -96,18 +96,18 @@
         if (last) {
             response.write(true, ByteBuffer.wrap(bytes), callback);
         } else {
-            response.write(false, ByteBuffer.wrap(bytes), Callback.from(this::written, this::failed));
+            response.write(false, ByteBuffer.wrap(bytes), Callback.from(this::writeSucceeded, this::writeFailed));
         }
     }
 
-    private void written() {
+    private void writeSucceeded() {
         synchronized (this) {
             writing = false;
         }
-        pump();
+        writePending();
     }
 
-    private void failed(Throwable cause) {
+    private void writeFailed(Throwable cause) {
         Runnable listener;
         synchronized (this) {
             if (finished) {
--- a/agatelane-lab/src/main/java/io/agatelane/lab/platform/EtcdJson.java
+++ b/agatelane-lab/src/main/java/io/agatelane/lab/platform/EtcdJson.java
@@ -7,7 +7,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Base64;
 
-/** Field formats of the etcd v3 JSON gateway: base64 bytes, 64-bit numbers as strings, zero values left out. */
+/** Formats fields as the etcd v3 JSON gateway does: base64 bytes, 64-bit numbers as strings, zero values omitted. */
 final class EtcdJson {
     private EtcdJson() {}
 
@@ -44,7 +44,7 @@
         return Base64.getEncoder().encodeToString(key.getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    /** Decodes a key; empty when it is missing. */
+    /** Decodes a key; empty when the field is missing. */
     static String key(JsonNode node, String name) {
         return new String(bytes(node, name), StandardCharsets.ISO_8859_1);
     }
@@ -57,7 +57,7 @@
         }
     }
 
-    /** Reads a 64-bit number that is a string or a JSON number; 0 when it is missing. */
+    /** Reads a 64-bit number that is a string or a JSON number; 0 when the field is missing. */
     static long number(JsonNode node, String name) {
         JsonNode value = node.path(name);
         try {
--- a/agatelane-lab/src/main/java/io/agatelane/lab/platform/KeyValueState.java
+++ b/agatelane-lab/src/main/java/io/agatelane/lab/platform/KeyValueState.java
@@ -13,8 +13,8 @@
 /**
  * Keys, revisions, leases and watches of the key-value service.
  *
- * <p>Keys are ISO-8859-1 strings of their bytes, so that they sort by byte value. All methods hold one lock; watch
- * listeners run under it and therefore see events in revision order.
+ * <p>Keys are strings with one character per byte (ISO-8859-1), so that they sort by byte value. All methods hold one
+ * lock; watch listeners run under it and therefore receive events in revision order.
  */
 final class KeyValueState {
     private final LongSupplier clockMillis;
@@ -25,7 +25,7 @@
     private final List<Watch> watches = new ArrayList<>();
     private long revision = 1;
     private long nextLeaseId = 1_000;
-    private long firstKeptRevision = 2;
+    private long firstRetainedRevision = 2;
 
     KeyValueState(LongSupplier clockMillis, int historyLimit) {
         this.clockMillis = clockMillis;
@@ -51,7 +51,7 @@
         return List.copyOf(values.subMap(key, true, rangeEnd, false).values());
     }
 
-    /** Whether every condition holds, in which case the operations run at one new revision. */
+    /** Runs {@code success} when every condition holds, else {@code failure}, with one new revision for all writes. */
     synchronized TxnResult txn(List<Compare> compares, List<Write> success, List<Write> failure) {
         boolean succeeded = compares.stream().allMatch(compare -> compare.holds(values.get(compare.key())));
         List<Write> chosen = succeeded ? success : failure;
@@ -66,14 +66,14 @@
         return new TxnResult(succeeded, revision, previous);
     }
 
-    /** Grants a lease; the identity 0 asks for a free one. */
-    synchronized long grantLease(long wantedId, long ttlSeconds) {
-        long id = wantedId == 0 ? nextLeaseId++ : wantedId;
+    /** Grants a lease and returns its id; a requested id of 0 picks a new one. */
+    synchronized long grantLease(long requestedId, long ttlSeconds) {
+        long id = requestedId == 0 ? nextLeaseId++ : requestedId;
         leases.put(id, new Lease(ttlSeconds, clockMillis.getAsLong() + ttlSeconds * 1_000));
         return id;
     }
 
-    /** Renews a lease and returns its time to live in seconds; 0 when it has ended. */
+    /** Renews a lease and returns its time to live in seconds; 0 when the lease has ended or never existed. */
     synchronized long renewLease(long id) {
         expireLeases();
         Lease lease = leases.get(id);
@@ -84,7 +84,7 @@
         return lease.ttlSeconds();
     }
 
-    /** Ends a lease and deletes its keys. */
+    /** Ends a lease and deletes its keys; false when the lease does not exist. */
     synchronized boolean revokeLease(long id) {
         if (leases.remove(id) == null) {
             return false;
@@ -107,12 +107,12 @@
     /**
      * Starts a watch.
      *
-     * @param startRevision 0 reports only later writes
-     * @return the first revision still in the history when the start lies before it, else 0
+     * @param startRevision first revision to report; 0 reports only writes after this call
+     * @return 0, or without starting the watch the first revision in the history when the start revision lies before it
      */
     synchronized long watch(Watch watch, long startRevision) {
-        if (startRevision > 0 && startRevision < firstKeptRevision) {
-            return firstKeptRevision;
+        if (startRevision > 0 && startRevision < firstRetainedRevision) {
+            return firstRetainedRevision;
         }
         if (startRevision > 0) {
             history.stream()
@@ -135,13 +135,13 @@
         return List.copyOf(values.values());
     }
 
-    /** Replaces everything by an earlier state, including its revision. Watches stay and see nothing of it. */
+    /** Replaces all values and the revision by an earlier state. Open watches stay open and get no event for it. */
     synchronized void restore(List<StoredValue> newValues, long newRevision) {
         values.clear();
         newValues.forEach(value -> values.put(value.key(), value));
         history.clear();
         revision = newRevision;
-        firstKeptRevision = newRevision + 1;
+        firstRetainedRevision = newRevision + 1;
     }
 
     private List<StoredValue> apply(Write write, long newRevision) {
@@ -170,7 +170,7 @@
         revision = value.modRevision();
         history.addLast(value);
         while (history.size() > historyLimit) {
-            firstKeptRevision = history.removeFirst().modRevision() + 1;
+            firstRetainedRevision = history.removeFirst().modRevision() + 1;
         }
         for (Watch watch : List.copyOf(watches)) {
             if (watch.covers(value.key())) {
@@ -197,14 +197,14 @@
         }
     }
 
-    /** A condition on the modification revision; 0 expects that the key does not exist. */
+    /** Condition that a key has a modification revision; 0 means that the key does not exist. */
     record Compare(String key, long modRevision) {
         boolean holds(StoredValue value) {
             return (value == null ? 0 : value.modRevision()) == modRevision;
         }
     }
 
-    /** A put, or a delete when the value is absent. */
+    /** A put, or the delete of a key range when the value is {@code null}. */
     @SuppressWarnings("ArrayRecordComponent") // Writes are never compared.
     record Write(String key, String rangeEnd, byte[] value, long leaseId) {
         static Write put(String key, byte[] value, long leaseId) {
@@ -219,7 +219,7 @@
     /** Result of a transaction with the values that each operation replaced. */
     record TxnResult(boolean succeeded, long revision, List<List<StoredValue>> previous) {}
 
-    /** An open watch. */
+    /** An open watch on a key, or on a key range when the range end is not empty. */
     record Watch(String key, String rangeEnd, Consumer<StoredValue> listener) {
         boolean covers(String candidate) {
             if (rangeEnd.isEmpty()) {
@@ -229,7 +229,7 @@
         }
     }
 
-    /** A write names a lease that does not exist. */
+    /** Thrown when a write or a revocation uses a lease that does not exist. */
     static final class LeaseNotFoundException extends RuntimeException {
         private static final long serialVersionUID = 1L;
 
--- a/agatelane-lab/src/main/java/io/agatelane/lab/platform/PlatformFaults.java
+++ b/agatelane-lab/src/main/java/io/agatelane/lab/platform/PlatformFaults.java
@@ -5,29 +5,29 @@
 import io.agatelane.lab.http.BadRequestException;
 import java.util.Set;
 
-/** Fault controls of the platform stand-in. A change names only the fields it sets. */
+/** Faults that the platform stand-in injects on request. A change contains only the fields that it sets. */
 final class PlatformFaults {
     private static final Set<String> OUTAGES = Set.of("off", "close", "hang");
 
     private String outage = "off";
     private long latencyMillis;
-    private int loseReplies;
+    private int responsesToLose;
     private int readsPerSecond;
     private int writesPerSecond;
 
-    /** Takes the fields of a JSON object; {@code outage} is also accepted as true or false. */
+    /** Sets the faults that a JSON object contains; {@code outage} may also be true ("close") or false ("off"). */
     synchronized void apply(ObjectNode change) {
         if (change.has("outage")) {
-            String wanted = change.get("outage").isBoolean()
+            String requestedOutage = change.get("outage").isBoolean()
                     ? (change.get("outage").asBoolean() ? "close" : "off")
                     : change.get("outage").asText();
-            if (!OUTAGES.contains(wanted)) {
-                throw new BadRequestException("outage is one of " + OUTAGES);
+            if (!OUTAGES.contains(requestedOutage)) {
+                throw new BadRequestException("outage must be one of " + OUTAGES);
             }
-            outage = wanted;
+            outage = requestedOutage;
         }
         latencyMillis = change.path("latencyMillis").asLong(latencyMillis);
-        loseReplies = change.path("loseReplies").asInt(loseReplies);
+        responsesToLose = change.path("loseReplies").asInt(responsesToLose);
         readsPerSecond = change.path("readsPerSecond").asInt(readsPerSecond);
         writesPerSecond = change.path("writesPerSecond").asInt(writesPerSecond);
     }
@@ -37,7 +37,7 @@
                 .objectNode()
                 .put("outage", outage)
                 .put("latencyMillis", latencyMillis)
-                .put("loseReplies", loseReplies)
+                .put("loseReplies", responsesToLose)
                 .put("readsPerSecond", readsPerSecond)
                 .put("writesPerSecond", writesPerSecond);
     }
@@ -50,17 +50,17 @@
         return latencyMillis;
     }
 
-    /** Rate limit per second; 0 means none. */
+    /** Returns the limit of writes or reads per second; 0 means no limit. */
     synchronized int ratePerSecond(boolean write) {
         return write ? writesPerSecond : readsPerSecond;
     }
 
-    /** Whether the reply to this write is to be lost; counts down. */
-    synchronized boolean takeLostReply() {
-        if (loseReplies == 0) {
+    /** Returns whether the response to this write is to be lost; counts down the responses to lose. */
+    synchronized boolean takeLostResponse() {
+        if (responsesToLose == 0) {
             return false;
         }
-        loseReplies--;
+        responsesToLose--;
         return true;
     }
 }
--- a/agatelane-lab/src/main/java/io/agatelane/lab/platform/PlatformServer.java
+++ b/agatelane-lab/src/main/java/io/agatelane/lab/platform/PlatformServer.java
@@ -24,21 +24,21 @@
 import java.util.concurrent.atomic.AtomicReference;
 import java.util.function.Function;
 
-/** The platform's key-value service: the subset of the etcd v3 JSON gateway that routers use. */
+/** Stand-in for the platform's key-value store: the subset of the etcd v3 JSON gateway that routers use. */
 public final class PlatformServer implements AutoCloseable {
     private static final int HISTORY_LIMIT = 20_000;
     private static final int MAX_VALUE_BYTES = 1_048_576;
     private static final long LEASE_CHECK_MILLIS = 50;
-    private static final Set<String> READS = Set.of("/v3/kv/range", "/v3/watch");
+    private static final Set<String> READ_PATHS = Set.of("/v3/kv/range", "/v3/watch");
 
     private final KeyValueState state;
     private final PlatformFaults faults = new PlatformFaults();
     private final Map<String, AtomicLong> counters = new ConcurrentHashMap<>();
     private final Map<StreamWriter, Watch> openWatches = new ConcurrentHashMap<>();
-    private final RateWindow reads = new RateWindow();
-    private final RateWindow writes = new RateWindow();
+    private final RateLimiter readLimiter = new RateLimiter();
+    private final RateLimiter writeLimiter = new RateLimiter();
     private final AtomicLong nextWatchId = new AtomicLong(1);
-    private final Map<String, Function<ObjectNode, ObjectNode>> calls = Map.of(
+    private final Map<String, Function<ObjectNode, ObjectNode>> handlersByPath = Map.of(
             "/v3/kv/range", this::range,
             "/v3/kv/put", this::put,
             "/v3/kv/txn", this::txn,
@@ -100,41 +100,41 @@
             }
             return;
         }
-        boolean write = !READS.contains(path);
-        if (!(write ? writes : reads).take(nowMillis(), faults.ratePerSecond(write))) {
+        boolean write = !READ_PATHS.contains(path);
+        if (!(write ? writeLimiter : readLimiter).tryAcquire(nowMillis(), faults.ratePerSecond(write))) {
             count("refusedByRate");
-            exchange.answer(429, error(8, "etcdserver: too many requests"));
+            exchange.respond(429, error(8, "etcdserver: too many requests"));
             return;
         }
         if (faults.latencyMillis() > 0) {
-            server.schedule(() -> run(exchange, write), faults.latencyMillis());
+            server.schedule(() -> handle(exchange, write), faults.latencyMillis());
         } else {
-            run(exchange, write);
+            handle(exchange, write);
         }
     }
 
-    private void run(Exchange exchange, boolean write) {
+    private void handle(Exchange exchange, boolean write) {
         try {
             if (exchange.path().equals("/v3/watch")) {
                 watch(exchange);
                 return;
             }
-            Function<ObjectNode, ObjectNode> call = calls.get(exchange.path());
-            if (call == null) {
-                exchange.answer(404, error(5, "Not Found"));
+            Function<ObjectNode, ObjectNode> handler = handlersByPath.get(exchange.path());
+            if (handler == null) {
+                exchange.respond(404, error(5, "Not Found"));
                 return;
             }
-            ObjectNode result = call.apply(exchange.json());
-            if (write && faults.takeLostReply()) {
+            ObjectNode result = handler.apply(exchange.json());
+            if (write && faults.takeLostResponse()) {
                 count("lostReplies");
                 exchange.close();
                 return;
             }
-            exchange.answer(200, result);
+            exchange.respond(200, result);
         } catch (BadRequestException e) {
-            exchange.answer(400, error(3, e.getMessage()));
+            exchange.respond(400, error(3, e.getMessage()));
         } catch (LeaseNotFoundException e) {
-            exchange.answer(404, error(5, e.getMessage()));
+            exchange.respond(404, error(5, e.getMessage()));
         }
     }
 
@@ -182,7 +182,8 @@
         for (JsonNode node : request.path("compare")) {
             compares.add(compareOf(node));
         }
-        // Reads in the lists run after the writes, which is the same as long as no key is in both.
+        // Reads run after the writes of the transaction, which gives the same result while no key is both read and
+        // written.
         TxnResult result = state.txn(compares, writesOf(request.path("success")), writesOf(request.path("failure")));
         ObjectNode response = EtcdJson.withHeader(result.revision());
         if (result.succeeded()) {
@@ -297,7 +298,7 @@
     private static ObjectNode watchResult(String id, StoredValue value) {
         ObjectNode result = EtcdJson.withHeader(value.modRevision()).put("watch_id", id);
         ObjectNode event = result.putArray("events").addObject();
-        // The gateway leaves out the type of a put because its enum value is zero.
+        // The gateway omits the type of a put because its enum value is zero.
         if (value.isDeletion()) {
             event.put("type", "DELETE");
         }
@@ -318,16 +319,16 @@
                         dropWatches();
                     }
                 }
-                exchange.answer(200, faults.toJson());
+                exchange.respond(200, faults.toJson());
             }
-            case "/lab/counters" -> exchange.answer(200, countersJson());
-            case "/lab/backup" -> exchange.answer(200, backup());
+            case "/lab/counters" -> exchange.respond(200, countersJson());
+            case "/lab/backup" -> exchange.respond(200, backup());
             case "/lab/restore" -> {
                 restore(exchange.json());
                 dropWatches();
-                exchange.answer(200, JsonNodeFactory.instance.objectNode());
+                exchange.respond(200, JsonNodeFactory.instance.objectNode());
             }
-            default -> exchange.answer(404, error(5, "Not Found"));
+            default -> exchange.respond(404, error(5, "Not Found"));
         }
     }
 
--- a/agatelane-lab/src/main/java/io/agatelane/lab/platform/RateWindow.java
+++ b/agatelane-lab/src/main/java/io/agatelane/lab/platform/RateLimiter.java
@@ -1,12 +1,12 @@
 package io.agatelane.lab.platform;
 
-/** Counts calls in windows of one second. */
-final class RateWindow {
+/** Limits the calls in each window of one second. */
+final class RateLimiter {
     private long windowStartMillis;
     private int calls;
 
-    /** Whether one more call fits into the current second; a limit of 0 allows every call. */
-    synchronized boolean take(long nowMillis, int limit) {
+    /** Counts a call and returns whether it is within the limit of its window; a limit of 0 allows every call. */
+    synchronized boolean tryAcquire(long nowMillis, int limit) {
         if (nowMillis - windowStartMillis >= 1_000) {
             windowStartMillis = nowMillis;
             calls = 0;
--- a/agatelane-lab/src/main/java/io/agatelane/lab/platform/StoredValue.java
+++ b/agatelane-lab/src/main/java/io/agatelane/lab/platform/StoredValue.java
@@ -3,7 +3,7 @@
 /**
  * A key with its value at one revision.
  *
- * @param value absent ({@code null}) in the record of a deletion
+ * @param value {@code null} in the history entry of a deletion
  * @param leaseId 0 when the key has no lease
  */
 @SuppressWarnings("ArrayRecordComponent") // Values are compared by revision, never by content.
--- a/agatelane-lab/src/main/java/io/agatelane/lab/platform/package-info.java
+++ b/agatelane-lab/src/main/java/io/agatelane/lab/platform/package-info.java
@@ -1,2 +1,2 @@
-/** Stand-in of the platform's key-value service. */
+/** Stand-in for the platform's key-value store. */
 package io.agatelane.lab.platform;
--- a/agatelane-lab/src/main/java/io/agatelane/lab/service/ServiceFaults.java
+++ b/agatelane-lab/src/main/java/io/agatelane/lab/service/ServiceFaults.java
@@ -3,14 +3,14 @@
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
-/** Fault controls of a service stand-in. A change names only the fields it sets. */
+/** Faults that a service stand-in injects on request. A change contains only the fields that it sets. */
 final class ServiceFaults {
     private long delayBeforeMillis;
     private long delayAfterMillis;
     private int closeAfter;
     private long frozenUntilMillis;
 
-    /** Takes the fields of a JSON object and returns all settings. */
+    /** Sets the faults that a JSON object contains and returns all faults. */
     synchronized ObjectNode apply(ObjectNode change, long nowMillis) {
         delayBeforeMillis = change.path("delayBeforeMillis").asLong(delayBeforeMillis);
         delayAfterMillis = change.path("delayAfterMillis").asLong(delayAfterMillis);
@@ -34,7 +34,7 @@
         return delayAfterMillis;
     }
 
-    /** Whether this call's connection closes after the execution; counts down. */
+    /** Returns whether to close the connection of this call after its execution; counts down the calls to close. */
     synchronized boolean takeCloseAfter() {
         return closeAfter > 0 && closeAfter-- > 0;
     }
--- a/agatelane-lab/src/main/java/io/agatelane/lab/service/ServiceServer.java
+++ b/agatelane-lab/src/main/java/io/agatelane/lab/service/ServiceServer.java
@@ -14,15 +14,15 @@
 import org.eclipse.jetty.http.HttpMethod;
 
 /**
- * A plain service: counts how often each idempotency key runs and confirms each run.
+ * Stand-in for a plain service: counts the executions of each idempotency key and confirms each execution.
  *
- * <p>The service itself does not remove duplicates, so that a router that sends a call twice is seen.
+ * <p>It does not remove duplicates, so that its counts reveal a router that sends a call twice.
  */
-@SuppressWarnings("FutureReturnValueIgnored") // Each outcome is written to its exchange.
+@SuppressWarnings("FutureReturnValueIgnored") // Each result is written to its exchange.
 public final class ServiceServer implements AutoCloseable {
-    private static final String STATUS = "/status/";
-    private static final String KEY = "Idempotency-Key";
-    private static final String FORWARDED = "X-Lab-Forwarded";
+    private static final String STATUS_PATH = "/status/";
+    private static final String IDEMPOTENCY_KEY_HEADER = "Idempotency-Key";
+    private static final String FORWARDED_HEADER = "X-Lab-Forwarded";
     private static final int SLOTS = 64;
     private static final long PEER_TIMEOUT_MILLIS = 1_000;
 
@@ -68,7 +68,7 @@
             return;
         }
         if (exchange.path().equals("/executions")) {
-            exchange.answer(200, executionsJson());
+            exchange.respond(200, executionsJson());
             return;
         }
         long frozenMillis = faults.frozenMillis(nowMillis());
@@ -78,37 +78,37 @@
         }
         if (exchange.method().equals("POST")) {
             running.incrementAndGet();
-            later(faults.delayBeforeMillis(), () -> execute(exchange));
+            runAfter(faults.delayBeforeMillis(), () -> execute(exchange));
         } else if (exchange.path().equals("/load")) {
-            exchange.answer(
+            exchange.respond(
                     200,
                     JsonNodeFactory.instance
                             .objectNode()
                             .put("running", running.get())
                             .put("waiting", 0)
                             .put("slots", SLOTS));
-        } else if (exchange.path().startsWith(STATUS)) {
-            status(exchange, exchange.path().substring(STATUS.length()));
+        } else if (exchange.path().startsWith(STATUS_PATH)) {
+            serveStatus(exchange, exchange.path().substring(STATUS_PATH.length()));
         } else {
-            exchange.answerError(404, "not_found", "no such path: " + exchange.path());
+            exchange.respondError(404, "not_found", "no such path: " + exchange.path());
         }
     }
 
     private void execute(Exchange exchange) {
-        ObjectNode confirmation = record(exchange.header(KEY), exchange.path());
+        ObjectNode confirmation = recordExecution(exchange.header(IDEMPOTENCY_KEY_HEADER), exchange.path());
         if (faults.takeCloseAfter()) {
             running.decrementAndGet();
             exchange.close();
             return;
         }
-        later(faults.delayAfterMillis(), () -> {
+        runAfter(faults.delayAfterMillis(), () -> {
             running.decrementAndGet();
             exchange.withHeader("X-Request-Id", exchange.header("X-Request-Id"));
-            exchange.answer(200, confirmation);
+            exchange.respond(200, confirmation);
         });
     }
 
-    private synchronized ObjectNode record(String key, String path) {
+    private synchronized ObjectNode recordExecution(String key, String path) {
         executions.merge(key, 1, Integer::sum);
         ObjectNode confirmation = JsonNodeFactory.instance
                 .objectNode()
@@ -120,34 +120,38 @@
         return confirmation;
     }
 
-    private void status(Exchange exchange, String key) {
+    private void serveStatus(Exchange exchange, String key) {
         ObjectNode own = confirmation(key);
         if (own != null) {
-            exchange.answer(200, own);
-        } else if (peers.isEmpty() || !exchange.header(FORWARDED).isEmpty()) {
-            exchange.answerError(404, "not_run", "no execution with this key");
+            exchange.respond(200, own);
+        } else if (peers.isEmpty() || !exchange.header(FORWARDED_HEADER).isEmpty()) {
+            exchange.respondError(404, "not_run", "no execution with this key");
         } else {
-            askPeers(exchange, key);
+            queryPeers(exchange, key);
         }
     }
 
-    private void askPeers(Exchange exchange, String key) {
-        List<CompletableFuture<LabClient.Answer>> answers = peers.stream()
+    private void queryPeers(Exchange exchange, String key) {
+        List<CompletableFuture<LabClient.Answer>> responses = peers.stream()
                 .map(peer -> client.call(
-                        HttpMethod.GET, peer + STATUS + key, null, Map.of(FORWARDED, name), PEER_TIMEOUT_MILLIS))
+                        HttpMethod.GET,
+                        peer + STATUS_PATH + key,
+                        null,
+                        Map.of(FORWARDED_HEADER, name),
+                        PEER_TIMEOUT_MILLIS))
                 .toList();
-        CompletableFuture.allOf(answers.toArray(CompletableFuture[]::new)).handle((done, failure) -> {
-            for (CompletableFuture<LabClient.Answer> answer : answers) {
-                if (!answer.isCompletedExceptionally() && answer.join().status() == 200) {
-                    exchange.answer(200, answer.join().json());
+        CompletableFuture.allOf(responses.toArray(CompletableFuture[]::new)).handle((done, failure) -> {
+            for (CompletableFuture<LabClient.Answer> response : responses) {
+                if (!response.isCompletedExceptionally() && response.join().status() == 200) {
+                    exchange.respond(200, response.join().json());
                     return null;
                 }
             }
             if (failure == null) {
-                exchange.answerError(404, "not_run", "no execution with this key");
+                exchange.respondError(404, "not_run", "no execution with this key");
             } else {
-                // A 404 would claim that the call did not run, although an instance could not be asked.
-                exchange.answerError(503, "peer_unreachable", "an instance could not be asked");
+                // A 404 would state that the call did not run, but an instance that may have run it is unreachable.
+                exchange.respondError(503, "peer_unreachable", "another instance of the service could not be reached");
             }
             return null;
         });
@@ -167,24 +171,24 @@
         switch (exchange.path()) {
             case "/lab/faults" -> {
                 ObjectNode change = exchange.json();
-                exchange.answer(200, faults.apply(change, nowMillis()));
+                exchange.respond(200, faults.apply(change, nowMillis()));
                 if (change.has("crash")) {
                     running.set(0);
-                    // Records survive a crash: the stand-in plays a service with a database.
+                    // Executions survive a crash: the stand-in simulates a service with a database.
                     server.crash(Math.max(1, change.path("crash").asLong(1_000)), () -> {});
                 }
             }
-            case "/lab/counters" -> exchange.answer(
+            case "/lab/counters" -> exchange.respond(
                     200,
                     JsonNodeFactory.instance
                             .objectNode()
                             .put("running", running.get())
                             .put("keys", executionsJson().size()));
-            default -> exchange.answerError(404, "not_found", "no such path: " + exchange.path());
+            default -> exchange.respondError(404, "not_found", "no such path: " + exchange.path());
         }
     }
 
-    private void later(long delayMillis, Runnable task) {
+    private void runAfter(long delayMillis, Runnable task) {
         if (delayMillis > 0) {
             server.schedule(task, delayMillis);
         } else {
--- a/agatelane-lab/src/main/java/io/agatelane/lab/service/package-info.java
+++ b/agatelane-lab/src/main/java/io/agatelane/lab/service/package-info.java
@@ -1,2 +1,2 @@
-/** Stand-in of a plain service. */
+/** Stand-in for a plain service. */
 package io.agatelane.lab.service;
--- a/agatelane-lab/src/test/java/io/agatelane/lab/engine/EngineServerTest.java
+++ b/agatelane-lab/src/test/java/io/agatelane/lab/engine/EngineServerTest.java
@@ -46,7 +46,7 @@
         engine.close();
     }
 
-    /** Guards against output that cannot be compared after a stream moved to another engine. */
+    /** Guards against different output after a stream has moved to another engine. */
     @Test
     public void continuedStreamEqualsTheUninterruptedOne() {
         ChatReader whole = chat("whole", "s", 12, "", 0);
@@ -65,7 +65,7 @@
         }
     }
 
-    /** Guards against cached blocks that cross from one salt to another. */
+    /** Guards against cached blocks that are reused under another salt. */
     @Test
     public void cachedTokensCountOnlyTheSameSalt() {
         assertEquals(chat("r1", "a/v1", 1, "", 0).cachedTokens(), 0);
@@ -73,9 +73,9 @@
         assertEquals(chat("r3", "b/v1", 1, "", 0).cachedTokens(), 0);
     }
 
-    /** Guards against a held stream that is replayed from the wrong offset. */
+    /** Guards against a retained stream that is replayed from the wrong offset. */
     @Test
-    public void heldStreamIsResumedFromAnOffset() {
+    public void retainedStreamIsResumedFromAnOffset() {
         String text = chat("held", "s", 6, "", 0).text();
         Answer rest = get(engine.url() + "/v1/streams/held?from=4");
         assertTrue(rest.text().startsWith("id: 4\n"));
@@ -85,7 +85,7 @@
         assertEquals(get(engine.url() + "/v1/streams/unknown?from=0").status(), 404);
     }
 
-    /** Guards against an engine that comes back from a crash with its old cache or its old incarnation. */
+    /** Guards against an engine that restarts after a crash with its old cache or its old incarnation. */
     @Test
     public void crashEmptiesTheEngineAndChangesTheIncarnation() throws InterruptedException {
         chat("before", "s", 1, "", 0);
@@ -99,7 +99,7 @@
         assertEquals(refused.json().path("error").path("type").asText(), "incarnation_mismatch");
     }
 
-    /** Guards against a poison request that does not take the engine down, or that does it without its marker. */
+    /** Guards against a poison request that does not crash the engine, or a crash by a prompt without the marker. */
     @Test
     public void markedPromptCrashesTheEngine() throws InterruptedException {
         engine.applyFaults(node().put("crashOn", "POISON").put("crashMillis", 1));
@@ -113,7 +113,7 @@
         assertEquals(engine.counters().path("poisonCrashes").asInt(), 1);
     }
 
-    /** Guards against an old order that overrides a newer one on an engine that checks fencing numbers. */
+    /** Guards against an older order that overrides a newer one on an engine that checks fencing numbers. */
     @Test
     public void olderOrderIsRefusedOnlyWhereFencingIsChecked() {
         assertEquals(order(engine, 5, "v2").status(), 200);
@@ -136,7 +136,7 @@
 
     /** Guards against saved blocks that cannot be imported by another engine with the same weights. */
     @Test
-    public void exportedBlocksAreImportedElsewhere() {
+    public void exportedBlocksAreImportedByAnotherEngine() {
         KeptStore store = new LocalKeptStore(100);
         try (EngineServer first = newEngine(store, true);
                 EngineServer second = newEngine(store, true)) {
@@ -151,7 +151,7 @@
         }
     }
 
-    /** Guards against an event sequence whose dropped events leave no gap. */
+    /** Guards against a dropped event that leaves no gap in the sequence numbers. */
     @Test
     public void droppedCacheEventLeavesAGap() {
         CacheEvents events = new CacheEvents();
@@ -166,9 +166,9 @@
         assertTrue(seen.toString().contains("\"0000000000000001\""));
     }
 
-    /** Guards against an answer whose identity does not show that it belongs to another request. */
+    /** Guards against a misdelivered response whose id does not show that it belongs to another request. */
     @Test
-    public void crossedAnswerCarriesTheOtherRequestsIdentity() {
+    public void misdeliveredResponseCarriesTheIdOfTheOtherRequest() {
         chat("first", "s", 2, "", 0);
         engine.applyFaults(node().put("crossAnswers", 1));
         ObjectNode body = body("s", 2, "", 0);
@@ -190,7 +190,7 @@
                     return;
                 }
             } catch (CompletionException e) {
-                // The engine refuses connections until it is back.
+                // The engine refuses connections until it listens again.
                 Thread.sleep(20);
             }
         }
@@ -223,10 +223,10 @@
                 .join();
     }
 
-    private static ChatReader read(Answer answer) {
-        assertEquals(answer.status(), 200, answer.text());
+    private static ChatReader read(Answer response) {
+        assertEquals(response.status(), 200, response.text());
         ChatReader reader = new ChatReader(() -> {});
-        reader.feed(ByteBuffer.wrap(answer.text().getBytes(StandardCharsets.UTF_8)));
+        reader.feed(ByteBuffer.wrap(response.text().getBytes(StandardCharsets.UTF_8)));
         return reader;
     }
 
--- a/agatelane-lab/src/test/java/io/agatelane/lab/engine/PrefixCacheTest.java
+++ b/agatelane-lab/src/test/java/io/agatelane/lab/engine/PrefixCacheTest.java
@@ -11,7 +11,7 @@
 public final class PrefixCacheTest {
     private final List<Long> evicted = new ArrayList<>();
 
-    /** Guards against blocks that one client account computed and another one reads. */
+    /** Guards against cached blocks of one client account that another account can use. */
     @Test
     public void equalPromptsWithDifferentSaltsShareNothing() {
         PrefixCache cache = newCache(100);
@@ -21,7 +21,7 @@
         assertEquals(cache.match("b/v1", prompt("a/v1", "x")), 0);
     }
 
-    /** Guards against an eviction order that drops a shared prefix before what follows it. */
+    /** Guards against an eviction order that drops a shared prefix before the blocks that follow it. */
     @Test
     public void evictionTakesTheLeastRecentlyUsedAndDeepestBlocksFirst() {
         PrefixCache cache = newCache(6);
--- a/agatelane-lab/src/test/java/io/agatelane/lab/platform/KeyValueStateTest.java
+++ b/agatelane-lab/src/test/java/io/agatelane/lab/platform/KeyValueStateTest.java
@@ -18,7 +18,7 @@
 public final class KeyValueStateTest {
     private final AtomicLong clockMillis = new AtomicLong(1_000);
 
-    /** Guards against two writers that both believe their compare-and-swap won. */
+    /** Guards against two compare-and-swap writes from the same revision that both succeed. */
     @Test
     public void onlyOneOfTwoSwapsFromTheSameRevisionWins() {
         KeyValueState state = newState(10);
@@ -30,7 +30,7 @@
         assertEquals(text(state.range("k", "").get(0)), "b");
     }
 
-    /** Guards against keys that outlive their lease, and against a renewal that revives an ended one. */
+    /** Guards against keys that outlive their lease, and against a renewal that revives an ended lease. */
     @Test
     public void leaseEndDeletesItsKeysOnly() {
         KeyValueState state = newState(10);
@@ -50,7 +50,7 @@
         assertThrows(LeaseNotFoundException.class, () -> put(state, "late", lease));
     }
 
-    /** Guards against a watch that loses writes between its start revision and its start. */
+    /** Guards against a watch that loses the writes between its start revision and the time at which it is opened. */
     @Test
     public void watchReplaysFromItsStartRevisionInOrder() {
         KeyValueState state = newState(10);
@@ -67,9 +67,9 @@
         assertEquals(seen, List.of(start, start + 2));
     }
 
-    /** Guards against a silent gap when the history no longer reaches back to the start revision. */
+    /** Guards against an unreported gap when the history no longer reaches back to the start revision. */
     @Test
-    public void watchBeforeTheHistoryReportsTheFirstKeptRevision() {
+    public void watchBeforeTheHistoryReportsTheFirstRetainedRevision() {
         KeyValueState state = newState(2);
         for (int i = 0; i < 5; i++) {
             put(state, "a", 0);
--- a/agatelane-lab/src/test/java/io/agatelane/lab/platform/PlatformServerTest.java
+++ b/agatelane-lab/src/test/java/io/agatelane/lab/platform/PlatformServerTest.java
@@ -41,9 +41,9 @@
         server.close();
     }
 
-    /** Guards against a lost reply that also loses the write, which would hide unknown outcomes. */
+    /** Guards against a lost response that also loses the write: then no write would have an unknown outcome. */
     @Test
-    public void lostReplyLeavesTheWriteInForce() {
+    public void lostResponseLeavesTheWriteInForce() {
         faults("loseReplies", 1);
         assertThrows(CompletionException.class, () -> put("a"));
         assertEquals(get().path("kvs").path(0).path("value").asText(), base64("a"));
@@ -75,9 +75,9 @@
         assertEquals(status("/v3/kv/range", node().put("key", base64("k"))), 200);
     }
 
-    /** Guards against other field formats than those of the gateway: strings for numbers, no zero values. */
+    /** Guards against formats that differ from the etcd gateway: 64-bit numbers as strings, zero values omitted. */
     @Test
-    public void transactionAnswersHaveTheGatewaysFormat() {
+    public void transactionResponsesHaveTheGatewaysFormat() {
         put("a");
         JsonNode won = txn(2, "b");
         assertTrue(won.path("succeeded").asBoolean());
@@ -93,7 +93,7 @@
         assertEquals(status("/v3/kv/put", node().put("key", "***")), 400);
     }
 
-    /** Guards against a watch that buffers: each line must arrive although the stream goes on. */
+    /** Guards against a watch that buffers: each line must arrive while the stream stays open. */
     @Test(timeOut = 20_000)
     public void watchSendsCreatedFirstAndEachEventAtOnce() throws IOException {
         put("a");
--- a/agatelane-lab/src/test/java/io/agatelane/lab/service/ServiceServerTest.java
+++ b/agatelane-lab/src/test/java/io/agatelane/lab/service/ServiceServerTest.java
@@ -36,7 +36,7 @@
         second.close();
     }
 
-    /** Guards against a stand-in that removes duplicates itself and so hides a booking that ran twice. */
+    /** Guards against a stand-in that removes duplicates and so hides a booking that ran twice. */
     @Test
     public void everyExecutionIsCounted() {
         String serial = run(first, "k1").json().path("serial").asText();
@@ -50,7 +50,7 @@
 
     /** Guards against a status call that reports "not run" because another instance ran the call. */
     @Test
-    public void statusAsksTheOtherInstanceOnce() {
+    public void statusQueriesTheOtherInstanceOnce() {
         run(first, "k1");
         assertEquals(status(second, "k1").json().path("key").asText(), "k1");
         assertEquals(status(second, "k2").status(), 404);
@@ -58,9 +58,9 @@
         assertEquals(status(second, "k3").status(), 503);
     }
 
-    /** Guards against a lost answer without an execution, which is the easier case for a router. */
+    /** Guards against a lost response without an execution, which is the easier case for a router. */
     @Test
-    public void callClosedWithoutAnswerHasRun() {
+    public void callClosedWithoutResponseHasRun() {
         ObjectNode fault = JsonNodeFactory.instance.objectNode().put("closeAfter", 1);
         client.put(first.url() + "/lab/faults", fault).join();
         assertThrows(CompletionException.class, () -> run(first, "k1"));
