--- a/agatelane-node/src/main/java/io/agatelane/node/api/CallerProtocol.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/api/CallerProtocol.java
@@ -13,15 +13,18 @@
      */
     CallerRequest decode(HttpFields headers);
 
-    /** The identity of a request; empty when it states none. */
+    /** Returns the identity of a request; empty when its headers contain none. */
     Optional<String> requestId(HttpFields headers);
 
-    /** Status of a failure. It may promise that nothing ran only where the failure says so. */
+    /**
+     * Returns the HTTP status of a failure. Only a failure that is known not to have executed anything may get a status
+     * which promises that nothing ran.
+     */
     int status(AgatelaneException failure);
 
-    /** Headers of a failure. */
+    /** Adds the response headers that describe a failure. */
     void encodeFailure(AgatelaneException failure, String requestId, HttpFields.Mutable headers);
 
-    /** Path at which the platform asks whether this router takes new connections. */
+    /** Returns the path of the readiness check, which reports whether this router takes new connections. */
     String readinessPath();
 }
--- a/agatelane-node/src/main/java/io/agatelane/node/api/CallerRequest.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/api/CallerRequest.java
@@ -5,10 +5,10 @@
 import java.util.OptionalLong;
 
 /**
- * What a caller states about its request besides method, path and body.
+ * The values that the router reads from the headers of a caller's request.
  *
- * @param id identity of this attempt of the caller
- * @param deadlineMillis time that the caller will wait; empty when not stated
+ * @param id identity that the caller gives to this attempt of its request
+ * @param deadlineMillis time for which the caller waits for the response; empty when not stated
  * @param apiKey empty when the request carries none
  * @param prompt empty when the request names no model
  */
--- a/agatelane-node/src/main/java/io/agatelane/node/api/ConditionalStore.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/api/ConditionalStore.java
@@ -26,7 +26,7 @@
      */
     CompletableFuture<Long> compareAndSet(String key, long expectedRevision, byte[] value);
 
-    /** Writes a key that goes away when the lease ends. */
+    /** Writes a key if its revision is the expected one, and attaches it to a lease whose end deletes the key. */
     CompletableFuture<Long> compareAndSet(String key, long expectedRevision, byte[] value, long leaseId);
 
     /** Deletes a key if its revision is the expected one. */
--- a/agatelane-node/src/main/java/io/agatelane/node/api/ConfigView.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/api/ConfigView.java
@@ -5,12 +5,12 @@
 
 /** The configuration in force on this router. */
 public interface ConfigView {
-    /** The newest snapshot; safe on every thread. */
+    /** Returns the newest snapshot. May be called on any thread. */
     ConfigSnapshot current();
 
     /** Calls the listener on the control thread after each change. */
     Subscription onChange(Consumer<ConfigSnapshot> listener);
 
-    /** Tells the reader that a peer has a revision, so that a newer one is fetched. */
+    /** Reports the revision that a peer has in force; a newer one is fetched from that peer. */
     void revisionAnnounced(String vmName, long revision);
 }
--- a/agatelane-node/src/main/java/io/agatelane/node/api/DigestExchange.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/api/DigestExchange.java
@@ -5,7 +5,7 @@
 import io.agatelane.wire.peer.UpstreamDigest;
 import java.util.function.Consumer;
 
-/** Small hints exchanged by gossip. They are lost, late or repeated at times; nothing may depend on them for safety. */
+/** Exchanges small hints by gossip. Hints may be lost, late or repeated, so correctness must not depend on them. */
 public interface DigestExchange {
     /** Sends to the routers of this availability zone. */
     void publish(UpstreamDigest digest);
--- a/agatelane-node/src/main/java/io/agatelane/node/api/Drainable.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/api/Drainable.java
@@ -2,7 +2,7 @@
 
 import java.util.concurrent.CompletableFuture;
 
-/** A part that takes requests and can be shut down without cutting one. */
+/** A component that serves requests and can be shut down without interrupting one. */
 public interface Drainable {
     /** Refuses requests that arrive from now on with {@code SHUTTING_DOWN}. */
     void refuseNew();
--- a/agatelane-node/src/main/java/io/agatelane/node/api/EngineControl.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/api/EngineControl.java
@@ -3,18 +3,18 @@
 import io.agatelane.core.fleet.FleetUpstream;
 import java.util.concurrent.CompletableFuture;
 
-/** Asks engines for their state and orders them to load weights. */
+/** Reads the state of engines and orders them to load weights. */
 public interface EngineControl {
     /** Reads the state of an engine. */
     CompletableFuture<EngineStatus> status(FleetUpstream upstream);
 
-    /** Asks a store of kept KV cache for its incarnation, which changes when it restarts. */
+    /** Reads the incarnation of a store of exported KV caches; it changes when the store restarts. */
     CompletableFuture<Long> cacheStoreIncarnation(String address);
 
     /**
-     * Orders an engine to load weights after its runs have finished.
+     * Orders an engine to load weights once its running requests have finished.
      *
-     * @return fails with {@code WRITE_OUTCOME_UNKNOWN} when there was no answer: the order may still be carried out
+     * @return fails with {@code WRITE_OUTCOME_UNKNOWN} when there was no response: the order may still be carried out
      */
     CompletableFuture<OrderAnswer> load(FleetUpstream upstream, WeightsOrder order);
 }
--- a/agatelane-node/src/main/java/io/agatelane/node/api/FleetRead.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/api/FleetRead.java
@@ -7,7 +7,7 @@
  * The result of one read of the store.
  *
  * @param view what the operator and the upstreams have written
- * @param content identifies the entries that the view was made of
+ * @param content identifies the entries from which the view was built
  * @param routerItems what the routers themselves have written
  */
 public record FleetRead(FleetView view, StoreContent content, List<KeyValue> routerItems) {
--- a/agatelane-node/src/main/java/io/agatelane/node/api/KeyValue.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/api/KeyValue.java
@@ -1,7 +1,7 @@
 package io.agatelane.node.api;
 
 /**
- * A key of the platform's service with its value.
+ * A key of the platform's key-value service with its value.
  *
  * @param revision the revision of the last write of this key; grows with each write
  */
--- a/agatelane-node/src/main/java/io/agatelane/node/api/KeyValueStore.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/api/KeyValueStore.java
@@ -5,11 +5,11 @@
 /** The platform's key-value service with watches. */
 public interface KeyValueStore extends ConditionalStore {
     /**
-     * Reports each write to a key, from now on, until cancelled. The implementation reconnects by itself and reports
-     * the current value again after a reconnect, so that no write is missed for good.
+     * Reports each later write to a key until cancelled. The implementation reconnects by itself and then reports the
+     * current value again, so that the newest write is always reported.
      */
     Subscription watch(String key, Consumer<KeyValue> listener);
 
-    /** Whether the last calls got answers. */
+    /** Returns whether the latest calls received responses. */
     boolean reachable();
 }
--- a/agatelane-node/src/main/java/io/agatelane/node/api/MemberState.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/api/MemberState.java
@@ -7,7 +7,7 @@
     DEAD,
     LEAVING;
 
-    /** Whether the router may own partitions and answer requests of peers. */
+    /** Returns whether the router may own partitions and serve requests of peers. */
     public boolean isLive() {
         return this == ALIVE || this == SUSPECT;
     }
--- a/agatelane-node/src/main/java/io/agatelane/node/api/MembershipView.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/api/MembershipView.java
@@ -9,7 +9,7 @@
     /** This router. */
     Member self();
 
-    /** All members in name order, dead ones included until they are forgotten; safe on every thread. */
+    /** Returns all members in name order, dead ones included until they are removed. May be called on any thread. */
     List<Member> members();
 
     /** Finds a member by name. */
@@ -18,7 +18,7 @@
     /** Calls the listener on the control thread after each change. */
     Subscription onChange(Consumer<List<Member>> listener);
 
-    /** Live members in name order, this router included. */
+    /** Returns the live members in name order, this router included. */
     default List<Member> liveMembers() {
         return members().stream().filter(member -> member.state().isLive()).toList();
     }
--- a/agatelane-node/src/main/java/io/agatelane/node/api/NodeContext.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/api/NodeContext.java
@@ -5,10 +5,10 @@
 import java.util.concurrent.Executor;
 
 /**
- * What every area of a router needs.
+ * Objects that all components of a router share.
  *
  * @param incarnation larger at each start of the process on this VM: the start time in milliseconds since 1970
- * @param control runs a task on the control thread
+ * @param control executor that runs tasks on the control thread
  */
 public record NodeContext(
         Settings settings, long incarnation, Executor control, TimerService timers, MetricRegistry metrics) {}
--- a/agatelane-node/src/main/java/io/agatelane/node/api/OrderAnswer.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/api/OrderAnswer.java
@@ -1,15 +1,15 @@
 package io.agatelane.node.api;
 
-/** What an engine answers to an order. */
+/** Response of an engine to an order. */
 public enum OrderAnswer {
-    /** It is being carried out. */
+    /** The engine accepted the order and is carrying it out. */
     STARTED,
-    /** The weights are loaded already. */
+    /** The engine already holds the ordered weights. */
     HOLDS,
-    /** Another order is in progress, or another number of orders was accepted. */
+    /** Another order is in progress, or the engine has not accepted the expected number of orders. */
     CONFLICT,
-    /** A later holder has given an order. */
+    /** The engine has accepted an order of a later lease holder, which has a larger fencing token. */
     FENCED,
-    /** The engine does not know the version, or another upstream has the address. */
+    /** The engine does not know the version, or another upstream now has the address. */
     REJECTED
 }
--- a/agatelane-node/src/main/java/io/agatelane/node/api/PeerTransport.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/api/PeerTransport.java
@@ -8,10 +8,10 @@
     /** Sends a request to a router and returns its response. */
     CompletableFuture<PeerFrame> request(String vmName, PeerFrame frame, long timeoutMillis);
 
-    /** Sets the handler of a kind of request. The handler runs on the control thread. */
+    /** Sets the handler for one kind of request. The handler runs on the control thread. */
     void onRequest(PeerFrame.BodyCase kind, Handler handler);
 
-    /** Answers a request; a failed future is sent back as a typed error. */
+    /** Handles a request and returns its response; a failed future is sent back as a typed error. */
     @FunctionalInterface
     interface Handler {
         CompletableFuture<PeerFrame> handle(String fromVm, PeerFrame frame);
--- a/agatelane-node/src/main/java/io/agatelane/node/api/PlatformAdapter.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/api/PlatformAdapter.java
@@ -10,7 +10,7 @@
      *
      * @param client started client for calls to the store and to engines
      * @param storeAddress IP:PORT
-     * @param timeoutMillis longest wait for one answer
+     * @param timeoutMillis longest wait for one response
      */
     FleetPorts open(HttpClient client, String storeAddress, long timeoutMillis);
 }
--- a/agatelane-node/src/main/java/io/agatelane/node/api/ReportedLoad.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/api/ReportedLoad.java
@@ -1,8 +1,8 @@
 package io.agatelane.node.api;
 
 /**
- * Load of an upstream as it tells it.
+ * Load that an upstream reports about itself.
  *
- * @param speedPercent how long work takes at this moment; 100 is as usual
+ * @param speedPercent how long work currently takes compared with the usual time; 100 is as usual, 200 twice as long
  */
 public record ReportedLoad(int running, int waiting, int slots, double speedPercent) {}
--- a/agatelane-node/src/main/java/io/agatelane/node/api/RoutingInspector.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/api/RoutingInspector.java
@@ -7,11 +7,11 @@
 
 /** Read-only views of the routing state for operators. */
 public interface RoutingInspector {
-    /** State of each upstream in name order. */
+    /** Returns the state of each upstream in name order. */
     List<UpstreamStatus> upstreams();
 
     /**
-     * Returns the decision for a request without sending it.
+     * Returns the routing decision for a request without sending the request.
      *
      * @throws io.agatelane.core.failure.AgatelaneException when the request is malformed or names unknown objects
      */
--- a/agatelane-node/src/main/java/io/agatelane/node/api/StoreContent.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/api/StoreContent.java
@@ -4,26 +4,26 @@
 import java.util.List;
 
 /**
- * Identifies what was read from the store, so that two routers can tell whether they have read the same.
+ * Identifies the content of one read of the store, so that two routers can compare whether they read the same entries.
  *
- * @param operator configuration and named weights
- * @param upstreams entries of the upstreams
+ * @param operator entries that the operator writes: configuration and requested weights versions
+ * @param upstreams entries that the upstreams write
  */
 public record StoreContent(Part operator, Part upstreams) {
     /** Nothing was read yet. */
     public static final StoreContent NONE = new StoreContent(Part.NONE, Part.NONE);
 
     /**
-     * Identifies entries. Each write raises the newest revision; a removal shows only in the digest.
+     * Identifies a set of entries. Each write raises the newest revision; a removal changes only the digest.
      *
      * @param newestRevision highest revision of an entry
-     * @param digest over the keys and revisions of all entries, whatever their order
+     * @param digest hash of the keys and revisions of all entries, independent of their order
      */
     public record Part(long newestRevision, long digest) {
         /** No entries. */
         public static final Part NONE = new Part(0, 0);
 
-        /** The part that some entries make. */
+        /** Computes the identity of a set of entries. */
         public static Part of(List<KeyValue> items) {
             long newest = 0;
             long digest = 0;
@@ -34,7 +34,7 @@
             return new Part(newest, digest);
         }
 
-        /** Whether another reading of the same entries may be newer than this one. */
+        /** Returns whether another read may have seen a newer state of these entries than this one. */
         public boolean mayBeOlderThan(Part other) {
             return !equals(other) && other.newestRevision >= newestRevision;
         }
--- a/agatelane-node/src/main/java/io/agatelane/node/api/UpstreamAnswer.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/api/UpstreamAnswer.java
@@ -4,16 +4,17 @@
 import java.util.OptionalLong;
 
 /**
- * The head of an upstream's answer.
+ * Decoded headers and status of an upstream's response.
  *
- * @param requestId request that the answer belongs to; empty when not stated
+ * @param requestId request that the response belongs to; empty when not stated
  * @param notExecuted whether the upstream states that the request did not run and will not
- * @param refusedExpectation whether the upstream is another one than expected or has other weights
- * @param upstreamId id of the answering upstream; empty when not stated
- * @param signed whether the upstream vouches for status and body
- * @param encoded whether the body was transformed on the way
- * @param load empty when the upstream does not tell its load
- * @param weightsVersion version of the weights that the answer was made with
+ * @param refusedExpectation whether the upstream refused the request because it is not the expected upstream or does
+ *     not have the expected weights
+ * @param upstreamId id of the responding upstream; empty when not stated
+ * @param signed whether the upstream signed status and body
+ * @param encoded whether the body has a content encoding, that is, was transformed on the way
+ * @param load empty when the upstream does not report its load
+ * @param weightsVersion version of the weights that produced the response
  */
 public record UpstreamAnswer(
         Optional<String> requestId,
--- a/agatelane-node/src/main/java/io/agatelane/node/api/UpstreamProtocol.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/api/UpstreamProtocol.java
@@ -2,14 +2,14 @@
 
 import org.eclipse.jetty.http.HttpFields;
 
-/** Encodes requests for upstreams and decodes their answers. */
+/** Encodes request headers for upstreams and decodes the headers of their responses. */
 public interface UpstreamProtocol {
-    /** Headers of a request: those of the caller that may pass, and those of the router. */
+    /** Writes the headers of a request: those of the caller that may be passed on, and those that the router adds. */
     void encode(HttpFields callerHeaders, UpstreamCall call, HttpFields.Mutable headers);
 
-    /** Reads the head of an answer. */
+    /** Decodes status and headers of a response. */
     UpstreamAnswer decode(int status, HttpFields headers);
 
-    /** Headers of an answer that are passed on to the caller. */
+    /** Copies the headers of a response that are passed on to the caller. */
     void relay(HttpFields upstreamHeaders, HttpFields.Mutable callerHeaders);
 }
