--- a/agatelane-node/src/main/java/io/agatelane/node/cfg/FleetSettingsReader.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/cfg/FleetSettingsReader.java
@@ -11,28 +11,28 @@
     private static final double MILLIS_PER_SECOND = 1_000;
     private static final double MAX_SECONDS = 600;
     private static final int MAX_MILLIS = 600_000;
-    // Poll and time-out together stay well under the two seconds in which a change has to be in force.
+    // A change has to be in force within two seconds; poll interval and timeout together stay well below that.
     private static final int DEFAULT_POLL_MILLIS = 700;
     private static final int DEFAULT_STORE_TIMEOUT_MILLIS = 900;
-    // Part of the time in which a revoked key may still be used that is left unused, for clock rates and scheduling.
+    // Subtracted from the time for which a revoked key may still be used, to allow for clock drift and scheduling
+    // delays.
     private static final double REVOCATION_MARGIN_SECONDS = 0.5;
     private static final double DEFAULT_REVOCATION_SECONDS = 5;
     private static final double DEFAULT_GRACE_SECONDS = 8;
     private static final double DEFAULT_LEASE_SECONDS = 3;
-    // The shorter of today's deployments.
+    // The shortest limit among the existing deployments.
     private static final double DEFAULT_WEIGHTS_SECONDS = 12;
-    // Usual share of repeated sends that deployments allow.
+    // The share of retries that deployments usually allow.
     private static final double DEFAULT_RETRY_RATIO = 0.2;
     private static final int DEFAULT_RETRY_SLACK = 50;
     private static final int MAX_RETRY_SLACK = 100_000;
     private static final double DEFAULT_RETRY_WINDOW_SECONDS = 10;
-    // A round trip between the zones of today's deployments (6 to 11 ms) plus the price of the bytes, which in Aargau
-    // is
-    // about that of an eighth of a second of prefill for a request of 17 KB.
+    // A round trip between the zones of the existing deployments takes 6 to 11 ms. The rest is the price of the
+    // transferred bytes: in the Aargau deployment, a request of 17 KB costs about as much as an eighth of a second of
+    // prefill.
     private static final double DEFAULT_CROSS_ZONE_MILLIS = 30;
-    // The slower of today's engines reads 112 prompt tokens a millisecond, in pieces of 1,024 with a step of 3.4 ms
-    // between
-    // them, which makes 80; attention over a long prompt costs another eighth.
+    // The slower kind of engine prefills 112 prompt tokens per millisecond in chunks of 1,024, with a step of 3.4 ms
+    // between chunks, which gives about 80; attention over a long prompt costs another eighth.
     private static final double DEFAULT_PREFILL_TOKENS_PER_MILLI = 70;
     private static final double MAX_PREFILL_TOKENS_PER_MILLI = 100_000;
 
@@ -76,12 +76,12 @@
                 routing.decimal("crossZoneMillis", DEFAULT_CROSS_ZONE_MILLIS, 0, MAX_MILLIS),
                 routing.decimal(
                         "prefillTokensPerMilli", DEFAULT_PREFILL_TOKENS_PER_MILLI, 1, MAX_PREFILL_TOKENS_PER_MILLI));
-        List.of(top, vm, listen, store, bounds, routing).forEach(SettingsSection::rejectUnknown);
+        List.of(top, vm, listen, store, bounds, routing).forEach(SettingsSection::rejectUnknownFields);
         return settings;
     }
 
-    private static long millis(SettingsSection section, String field, double defaultSeconds, double lessSeconds) {
+    private static long millis(SettingsSection section, String field, double defaultSeconds, double marginSeconds) {
         double seconds = section.decimal(field, defaultSeconds, 0, MAX_SECONDS);
-        return Math.round(Math.max(0, seconds - lessSeconds) * MILLIS_PER_SECOND);
+        return Math.round(Math.max(0, seconds - marginSeconds) * MILLIS_PER_SECOND);
     }
 }
--- a/agatelane-node/src/main/java/io/agatelane/node/cfg/SettingsException.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/cfg/SettingsException.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.stream.Collectors;
 
-/** A settings file with faults. The message has one line for each. */
+/** Reports all faults of a settings file. The message has one line for each fault. */
 public final class SettingsException extends AgatelaneException {
     private static final long serialVersionUID = 1L;
 
--- a/agatelane-node/src/main/java/io/agatelane/node/cfg/SettingsReader.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/cfg/SettingsReader.java
@@ -27,8 +27,8 @@
     private static final int MAX_MILLIS = 600_000;
     private static final int MAX_CALLS_PER_SECOND = 100_000;
     private static final int MAX_BODY_BYTES = 1 << 30;
-    // Values of the platform's service hold up to 1 MB; the rest is for the booking's other fields.
-    private static final int MAX_ANSWER_BYTES = 900_000;
+    // A value in the platform's key-value service may have up to 1 MB; the rest is for the booking's other fields.
+    private static final int MAX_RESPONSE_BYTES = 900_000;
 
     private SettingsReader() {}
 
@@ -64,11 +64,12 @@
             }
             return root;
         } catch (JsonProcessingException e) {
-            String place = e.getLocation() == null
+            String location = e.getLocation() == null
                     ? ""
                     : " at line " + e.getLocation().getLineNr() + ", column "
                             + e.getLocation().getColumnNr();
-            faults.add(new SettingsFault(file.toString(), "", "expected JSON" + place + ": " + e.getOriginalMessage()));
+            faults.add(
+                    new SettingsFault(file.toString(), "", "expected JSON" + location + ": " + e.getOriginalMessage()));
         } catch (NoSuchFileException e) {
             faults.add(new SettingsFault(file.toString(), "", "expected a file, found none"));
         } catch (IOException e) {
@@ -103,15 +104,15 @@
                 platform.integer("maxCallsPerSecond", 50, 1, MAX_CALLS_PER_SECOND),
                 top.addresses("seeds"),
                 limits.integer("maxBodyBytes", 8 << 20, 1_024, MAX_BODY_BYTES),
-                limits.integer("maxAnswerBytes", MAX_ANSWER_BYTES, 1_024, MAX_ANSWER_BYTES),
+                limits.integer("maxAnswerBytes", MAX_RESPONSE_BYTES, 1_024, MAX_RESPONSE_BYTES),
                 shutdown.integer("drainDelayMillis", 2_000, 0, MAX_MILLIS),
                 shutdown.integer("graceMillis", 60_000, 0, MAX_MILLIS),
                 top.number("randomSeed", 0, Long.MIN_VALUE, Long.MAX_VALUE));
-        List.of(top, vm, listen, platform, limits, shutdown).forEach(SettingsSection::rejectUnknown);
+        List.of(top, vm, listen, platform, limits, shutdown).forEach(SettingsSection::rejectUnknownFields);
         return settings;
     }
 
-    // Port 0 asks for a free port, so equal addresses with it do not collide.
+    // Port 0 stands for any free port, so two addresses with port 0 do not collide.
     private static void rejectDuplicates(SettingsSection listen, InetSocketAddress... addresses) {
         String[] fields = {"httpAddress", "rpcAddress", "peerAddress"};
         for (int i = 1; i < fields.length; i++) {
--- a/agatelane-node/src/main/java/io/agatelane/node/cfg/SettingsSection.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/cfg/SettingsSection.java
@@ -20,13 +20,14 @@
     private static final Pattern ADDRESS =
             Pattern.compile("(\\d{1,3}(?:\\.\\d{1,3}){3}|\\[[0-9A-Fa-f:.]{2,45}]):(\\d{1,5})");
     private static final Pattern NAME = Pattern.compile("[A-Za-z0-9][A-Za-z0-9._-]{0,62}");
-    private static final String NAME_RULE = "expected 1 to 63 of A-Z a-z 0-9 . _ - that start with a letter or digit";
+    private static final String NAME_EXPECTATION =
+            "expected 1 to 63 of A-Z a-z 0-9 . _ - that start with a letter or digit";
     private static final int MAX_PORT = 65_535;
 
     private final JsonNode node;
     private final String pointer;
     private final BiConsumer<String, String> faults;
-    private final Set<String> known = new HashSet<>();
+    private final Set<String> knownFields = new HashSet<>();
 
     SettingsSection(JsonNode node, String pointer, BiConsumer<String, String> faults) {
         this.node = node;
@@ -34,9 +35,9 @@
         this.faults = faults;
     }
 
-    /** A nested object; empty when it is left out. */
+    /** Returns a nested object; an empty one when the field is missing. */
     SettingsSection section(String field) {
-        known.add(field);
+        knownFields.add(field);
         JsonNode child = node.path(field);
         if (!child.isMissingNode() && !child.isObject()) {
             fault(field, "expected an object, found " + describe(child));
@@ -48,12 +49,12 @@
     String name(String field) {
         String text = text(field);
         if (text != null && !NAME.matcher(text).matches()) {
-            fault(field, NAME_RULE + ", found \"" + text + "\"");
+            fault(field, NAME_EXPECTATION + ", found \"" + text + "\"");
         }
         return text;
     }
 
-    /** An HTTP base URL without a path. */
+    /** Returns an HTTP base URL without a path. */
     String url(String field) {
         String text = text(field);
         if (text == null) {
@@ -84,7 +85,7 @@
     }
 
     List<InetSocketAddress> addresses(String field) {
-        known.add(field);
+        knownFields.add(field);
         JsonNode value = node.path(field);
         List<InetSocketAddress> result = new ArrayList<>();
         if (value.isMissingNode()) {
@@ -115,7 +116,7 @@
     }
 
     long number(String field, long defaultValue, long min, long max) {
-        known.add(field);
+        knownFields.add(field);
         JsonNode value = node.path(field);
         if (value.isMissingNode()) {
             return defaultValue;
@@ -132,7 +133,7 @@
     }
 
     boolean flag(String field, boolean defaultValue) {
-        known.add(field);
+        knownFields.add(field);
         JsonNode value = node.path(field);
         if (value.isMissingNode()) {
             return defaultValue;
@@ -144,9 +145,9 @@
         return value.asBoolean();
     }
 
-    /** A number with or without a fraction. */
+    /** Returns a number with or without a fraction. */
     double decimal(String field, double defaultValue, double min, double max) {
-        known.add(field);
+        knownFields.add(field);
         JsonNode value = node.path(field);
         if (value.isMissingNode()) {
             return defaultValue;
@@ -163,19 +164,19 @@
     }
 
     /** Reports the fields that were not read. */
-    void rejectUnknown() {
+    void rejectUnknownFields() {
         node.fieldNames().forEachRemaining(field -> {
-            if (!known.contains(field)) {
+            if (!knownFields.contains(field)) {
                 fault(
                         field.replace("~", "~0").replace("/", "~1"),
                         "unknown field, expected one of "
-                                + known.stream().sorted().toList());
+                                + knownFields.stream().sorted().toList());
             }
         });
     }
 
     private String text(String field) {
-        known.add(field);
+        knownFields.add(field);
         JsonNode value = node.path(field);
         if (value.isMissingNode()) {
             fault(field, "missing, expected a string");
@@ -192,7 +193,7 @@
         Matcher matcher = ADDRESS.matcher(text);
         if (matcher.matches() && Integer.parseInt(matcher.group(2)) <= MAX_PORT) {
             try {
-                // The pattern admits only literal addresses, so no name service is asked.
+                // The pattern accepts only literal addresses, so no DNS lookup takes place.
                 InetAddress ip = InetAddress.getByName(matcher.group(1));
                 return new InetSocketAddress(ip, Integer.parseInt(matcher.group(2)));
             } catch (UnknownHostException e) {
--- a/agatelane-node/src/main/java/io/agatelane/node/cfg/package-info.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/cfg/package-info.java
@@ -1,2 +1,2 @@
-/** Settings of a router. */
+/** Settings of a router and the readers of its settings files. */
 package io.agatelane.node.cfg;
