--- a/agatelane-node/src/main/java/io/agatelane/node/control/ControlThread.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/control/ControlThread.java
@@ -8,7 +8,7 @@
 import java.util.concurrent.ScheduledThreadPoolExecutor;
 import java.util.concurrent.TimeUnit;
 
-/** The one thread that owns all control state, with its timers. */
+/** Executor and timer service of the single thread that owns all control state. */
 public final class ControlThread implements Executor, TimerService, AutoCloseable {
     private static final EventLog LOG = EventLog.of(ControlThread.class);
 
@@ -57,7 +57,7 @@
         executor.shutdownNow();
     }
 
-    // A periodic task that throws would never run again, so failures are logged here.
+    // The executor never runs a periodic task again once it has thrown, so failures are caught and logged here.
     private static void runGuarded(String name, Runnable task) {
         try {
             task.run();
--- a/agatelane-node/src/main/java/io/agatelane/node/impl/RouterNode.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/impl/RouterNode.java
@@ -29,12 +29,13 @@
 import java.util.concurrent.TimeoutException;
 import java.util.concurrent.atomic.AtomicBoolean;
 
-/** One router: assembles its parts, starts them, and shuts them down without interrupting a request. */
+/** One router: assembles its components, starts them, and shuts them down without interrupting a request. */
 public final class RouterNode implements AutoCloseable {
     private static final EventLog LOG = EventLog.of(RouterNode.class);
 
-    // A start without platform and without peers still serves; requests are refused until a configuration arrives.
-    private static final long CONFIG_WAIT_MILLIS = 10_000;
+    // When neither the platform nor a peer responds in this time, the router starts all the same and refuses requests
+    // until a configuration arrives.
+    private static final long MAX_CONFIG_WAIT_MILLIS = 10_000;
 
     private final Settings settings;
     private final ControlThread control;
@@ -88,7 +89,7 @@
     public static RouterNode start(Settings settings) {
         RouterNode node = new RouterNode(settings);
         try {
-            node.startParts();
+            node.startComponents();
             return node;
         } catch (RuntimeException e) {
             node.close();
@@ -96,17 +97,17 @@
         }
     }
 
-    /** Whether the load balancer may send requests here. */
+    /** Returns whether the load balancer may send requests to this router. */
     public boolean isReady() {
         return ready && config.current().revision() > 0;
     }
 
-    /** Port of the callers' side. */
+    /** Returns the port on which callers connect. */
     public int httpPort() {
         return frontend.port();
     }
 
-    /** Port of the operators' side. */
+    /** Returns the port on which operators connect. */
     public int rpcPort() {
         return operators.port();
     }
@@ -140,25 +141,25 @@
         }
         ready = false;
         while (!started.isEmpty()) {
-            closePart(started.pop());
+            closeComponent(started.pop());
         }
         LOG.event("router_stopped").with("vm", settings.vmName()).info();
         closed.countDown();
     }
 
-    private void startParts() {
+    private void startComponents() {
         started.push(control);
-        startPart(platform::start, platform);
-        startPart(peers::start, peers);
-        startPart(membership::start, membership);
+        startComponent(platform::start, platform);
+        startComponent(peers::start, peers);
+        startComponent(membership::start, membership);
         config.onChange(snapshot -> membership.setConfigRevision(snapshot.revision()));
         membership.onRevision(config::revisionAnnounced);
-        startPart(() -> await(config.start().thenApply(snapshot -> null), CONFIG_WAIT_MILLIS), config);
-        startPart(engineTraffic::start, engineTraffic);
-        startPart(serviceTraffic::start, serviceTraffic);
-        startPart(orders::start, orders);
-        startPart(operators::start, operators);
-        startPart(frontend::start, frontend);
+        startComponent(() -> await(config.start().thenApply(snapshot -> null), MAX_CONFIG_WAIT_MILLIS), config);
+        startComponent(engineTraffic::start, engineTraffic);
+        startComponent(serviceTraffic::start, serviceTraffic);
+        startComponent(orders::start, orders);
+        startComponent(operators::start, operators);
+        startComponent(frontend::start, frontend);
         ready = true;
         LOG.event("router_started")
                 .with("vm", settings.vmName())
@@ -169,17 +170,17 @@
                 .info();
     }
 
-    private void startPart(Runnable start, AutoCloseable part) {
-        started.push(part);
+    private void startComponent(Runnable start, AutoCloseable component) {
+        started.push(component);
         start.run();
     }
 
-    private static void closePart(AutoCloseable part) {
+    private static void closeComponent(AutoCloseable component) {
         try {
-            part.close();
+            component.close();
         } catch (Exception e) {
             LOG.event("part_close_failed")
-                    .with("part", part.getClass().getSimpleName())
+                    .with("part", component.getClass().getSimpleName())
                     .error(e);
         }
     }
--- a/agatelane-node/src/main/java/io/agatelane/node/impl/package-info.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/impl/package-info.java
@@ -1,2 +1,2 @@
-/** Assembly of a router from its parts. */
+/** Assembles a router from its components. */
 package io.agatelane.node.impl;
--- a/agatelane-node/src/main/java/io/agatelane/node/util/BoundedLogHandler.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/util/BoundedLogHandler.java
@@ -8,13 +8,13 @@
 import java.util.logging.Handler;
 import java.util.logging.LogRecord;
 
-/** Writes log lines on a thread of its own. A line that finds the queue full is dropped and counted; none ever waits. */
+/** Writes log lines on a separate thread. Logging never blocks: a full queue drops and counts further lines. */
 public final class BoundedLogHandler extends Handler {
-    // Two seconds of lines at a thousand requests a second.
-    private static final int CAPACITY = 2_000;
+    // Holds the lines of two seconds at a thousand requests a second.
+    private static final int QUEUE_CAPACITY_LINES = 2_000;
 
-    private final BlockingQueue<String> lines = new ArrayBlockingQueue<>(CAPACITY);
-    private final AtomicLong dropped = new AtomicLong();
+    private final BlockingQueue<String> lines = new ArrayBlockingQueue<>(QUEUE_CAPACITY_LINES);
+    private final AtomicLong droppedLines = new AtomicLong();
     private final PrintStream out;
     private final Thread writer;
 
@@ -29,11 +29,11 @@
     @Override
     public void publish(LogRecord record) {
         if (isLoggable(record) && !lines.offer(getFormatter().format(record))) {
-            dropped.incrementAndGet();
+            droppedLines.incrementAndGet();
         }
     }
 
-    /** Writes what is queued. */
+    /** Writes the queued lines on the calling thread. */
     @Override
     public void flush() {
         StringBuilder batch = new StringBuilder();
@@ -57,9 +57,11 @@
                 for (String line = lines.poll(); line != null; line = lines.poll()) {
                     batch.append(line);
                 }
-                long lost = dropped.getAndSet(0);
-                if (lost > 0) {
-                    batch.append("event=log_lines_dropped count=").append(lost).append('\n');
+                long dropped = droppedLines.getAndSet(0);
+                if (dropped > 0) {
+                    batch.append("event=log_lines_dropped count=")
+                            .append(dropped)
+                            .append('\n');
                 }
                 out.print(batch);
                 out.flush();
--- a/agatelane-node/src/main/java/io/agatelane/node/util/EventLog.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/util/EventLog.java
@@ -21,7 +21,7 @@
         return new Event(logger, name);
     }
 
-    /** One line under construction. */
+    /** Builds the line of one event. */
     public static final class Event {
         private final Logger logger;
         private final StringBuilder line;
@@ -37,13 +37,13 @@
             return this;
         }
 
-        /** Adds an integer. */
+        /** Adds a pair with an integer. */
         public Event with(String key, long value) {
             line.append(' ').append(key).append('=').append(value);
             return this;
         }
 
-        /** Adds a number with two decimals. */
+        /** Adds a pair with a number, written with two decimals. */
         public Event with(String key, double value) {
             line.append(' ').append(key).append('=').append(String.format(Locale.ROOT, "%.2f", value));
             return this;
--- a/agatelane-node/src/main/java/io/agatelane/node/util/Futures.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/util/Futures.java
@@ -9,7 +9,7 @@
 import java.util.function.BiFunction;
 import java.util.function.Supplier;
 
-/** Continuations of futures that lose no failure. */
+/** Continuations of futures that report every failure as an {@code AgatelaneException} and drop none. */
 public final class Futures {
     private static final EventLog LOG = EventLog.of(Futures.class);
 
@@ -30,7 +30,7 @@
                 executor);
     }
 
-    /** Goes on with the value or the failure; the other one is null. A failure of the step fails the result. */
+    /** Runs the next step with the value or the failure; the other is null. A failure of the step fails the result. */
     public static <T, R> CompletableFuture<R> compose(
             CompletableFuture<T> future,
             Executor executor,
@@ -46,7 +46,7 @@
         return result;
     }
 
-    /** Runs a call on an executor. A failure of the call fails the result. */
+    /** Starts an asynchronous call on an executor. A failure of the call fails the result. */
     public static <R> CompletableFuture<R> on(Executor executor, Supplier<CompletableFuture<R>> call) {
         CompletableFuture<R> result = new CompletableFuture<>();
         try {
@@ -58,7 +58,7 @@
         return result;
     }
 
-    /** Completes a future like another one. */
+    /** Completes a future with the value or the failure of another one. */
     public static <R> void forward(CompletableFuture<R> from, CompletableFuture<R> to) {
         var unused = from.handle((value, thrown) ->
                 thrown == null ? to.complete(value) : to.completeExceptionally(AgatelaneException.from(thrown)));
--- a/agatelane-node/src/main/java/io/agatelane/node/util/PrometheusText.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/util/PrometheusText.java
@@ -33,32 +33,32 @@
     private static void append(StringBuilder out, String name, Metric metric) {
         if (metric instanceof Gauge<?> gauge) {
             if (gauge.getValue() instanceof Number number) {
-                type(out, name, "gauge");
-                line(out, name, "", number.doubleValue());
+                appendType(out, name, "gauge");
+                appendSample(out, name, "", number.doubleValue());
             }
         } else if (metric instanceof Sampling sampling && metric instanceof Counting counting) {
             double unit = metric instanceof Timer ? NANOS_PER_SECOND : 1;
-            type(out, name, "summary");
+            appendType(out, name, "summary");
             Snapshot snapshot = sampling.getSnapshot();
-            line(out, name, "{quantile=\"0.5\"}", snapshot.getMedian() / unit);
-            line(out, name, "{quantile=\"0.95\"}", snapshot.get95thPercentile() / unit);
-            line(out, name, "{quantile=\"0.99\"}", snapshot.get99thPercentile() / unit);
-            line(out, name + "_count", "", (double) counting.getCount());
+            appendSample(out, name, "{quantile=\"0.5\"}", snapshot.getMedian() / unit);
+            appendSample(out, name, "{quantile=\"0.95\"}", snapshot.get95thPercentile() / unit);
+            appendSample(out, name, "{quantile=\"0.99\"}", snapshot.get99thPercentile() / unit);
+            appendSample(out, name + "_count", "", (double) counting.getCount());
         } else if (metric instanceof Counter counter) {
-            // Dropwizard counters may go down, so they are gauges unless their name says that they are totals.
-            type(out, name, name.endsWith("_total") ? "counter" : "gauge");
-            line(out, name, "", (double) counter.getCount());
+            // Dropwizard counters may decrease, so they are gauges unless their name ends with _total.
+            appendType(out, name, name.endsWith("_total") ? "counter" : "gauge");
+            appendSample(out, name, "", (double) counter.getCount());
         } else if (metric instanceof Counting counting) {
-            type(out, name + "_total", "counter");
-            line(out, name + "_total", "", (double) counting.getCount());
+            appendType(out, name + "_total", "counter");
+            appendSample(out, name + "_total", "", (double) counting.getCount());
         }
     }
 
-    private static void type(StringBuilder out, String name, String type) {
+    private static void appendType(StringBuilder out, String name, String type) {
         out.append("# TYPE ").append(name).append(' ').append(type).append('\n');
     }
 
-    private static void line(StringBuilder out, String name, String labels, double value) {
+    private static void appendSample(StringBuilder out, String name, String labels, double value) {
         out.append(name).append(labels).append(' ');
         if (value == Math.rint(value) && Math.abs(value) < 1e15) {
             out.append((long) value);
--- a/agatelane-node/src/main/java/io/agatelane/node/util/package-info.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/util/package-info.java
@@ -1,2 +1,2 @@
-/** Event log and other small tools. */
+/** Event log, log handler, metrics format and helpers for futures. */
 package io.agatelane.node.util;
--- a/agatelane-node/src/test/java/io/agatelane/node/util/EventLogTest.java
+++ b/agatelane-node/src/test/java/io/agatelane/node/util/EventLogTest.java
@@ -11,7 +11,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Guards the form of log lines, which operators parse. */
+/** Guards against changes in the format of log lines, which operators parse. */
 public final class EventLogTest {
     private final Logger logger = Logger.getLogger(EventLogTest.class.getName());
     private final List<String> lines = new ArrayList<>();
@@ -39,7 +39,7 @@
         logger.removeHandler(handler);
     }
 
-    // Integers were once written as "12.00", because a long converts to a double.
+    // Guards against integers that are written as "12.00", which happens because a long converts to a double.
     @Test
     public void integersHaveNoDecimals() {
         EventLog.of(EventLogTest.class)
