--- a/agatelane-node/src/main/java/io/agatelane/node/config/ConfigService.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/config/ConfigService.java
@@ -37,16 +37,16 @@
 import java.util.function.Consumer;
 import org.apache.commons.rng.simple.RandomSource;
 
-/** The configuration of this router and the calls that change it. The methods may be called on any thread. */
+/** Serves the configuration of this router and the calls that change it. The methods may be called on any thread. */
 public final class ConfigService implements ConfigView, AutoCloseable {
     private static final EventLog LOG = EventLog.of(ConfigService.class);
 
     private final NodeContext context;
     private final ConfigReader reader;
     private final ConfigWriter writer;
-    private final ConfigSpread spread;
-    private final RolloutWaits rollouts;
-    private final ShardCollector collector;
+    private final ConfigSynchronizer synchronizer;
+    private final RevisionWaitController revisionWaits;
+    private final ShardGarbageCollector garbageCollector;
     private final List<Consumer<ConfigSnapshot>> listeners = new CopyOnWriteArrayList<>();
     private volatile ConfigSnapshot snapshot = ConfigSnapshot.empty();
     private volatile LoadedConfig loaded = LoadedConfig.empty();
@@ -55,39 +55,39 @@
     public ConfigService(NodeContext context, KeyValueStore store, MembershipView membership, PeerTransport peers) {
         this.context = context;
         this.reader = new ConfigReader(context, store, peers);
-        // The name keeps routers with the same configured seed from choosing the same shard keys.
+        // Without the name, routers with the same configured seed would choose the same shard keys.
         long seed = context.settings().randomSeed()
                 ^ Rendezvous.hash(context.settings().vmName())
                 ^ context.incarnation();
         this.writer =
                 new ConfigWriter(context, store, membership, reader, RandomSource.XO_RO_SHI_RO_128_PP.create(seed));
-        this.spread = new ConfigSpread(context, store, membership, peers, reader);
-        this.rollouts = new RolloutWaits(context, membership, peers, reader);
-        this.collector = new ShardCollector(context, store, membership, reader);
+        this.synchronizer = new ConfigSynchronizer(context, store, membership, peers, reader);
+        this.revisionWaits = new RevisionWaitController(context, membership, peers, reader);
+        this.garbageCollector = new ShardGarbageCollector(context, store, membership, reader);
         context.metrics().gauge("config.revision", () -> () -> snapshot.revision());
-        reader.onAdvance(this::advanced);
+        reader.onAdvance(this::adopt);
         reader.onRegressed(new HeadRepair(context, store, membership, reader)::repair);
     }
 
     /**
-     * Starts reading. The result completes with the first snapshot, or with the snapshot held then after a bounded
-     * wait; reading continues in the background.
+     * Starts reading. The result completes with the first snapshot that was read, or after a bounded wait with the
+     * snapshot in force at that time; reading then continues in the background.
      */
     public CompletableFuture<ConfigSnapshot> start() {
         CompletableFuture<ConfigSnapshot> result = new CompletableFuture<>();
         context.control().execute(() -> {
-            rollouts.start();
-            collector.start();
-            Futures.whenDone(spread.start(), Runnable::run, (unused, failure) -> result.complete(snapshot));
+            revisionWaits.start();
+            garbageCollector.start();
+            Futures.whenDone(synchronizer.start(), Runnable::run, (unused, failure) -> result.complete(snapshot));
         });
         return result;
     }
 
     @Override
     public void close() {
-        spread.close();
-        rollouts.close();
-        collector.close();
+        synchronizer.close();
+        revisionWaits.close();
+        garbageCollector.close();
     }
 
     @Override
@@ -104,7 +104,7 @@
     @Override
     public void revisionAnnounced(String vmName, long revision) {
         if (revision > snapshot.revision()) {
-            context.control().execute(() -> spread.announced(vmName, revision));
+            context.control().execute(() -> synchronizer.revisionAnnounced(vmName, revision));
         }
     }
 
@@ -146,13 +146,14 @@
                     request.getChangeId(),
                     ObjectCodec.key(object),
                     Optional.of(ObjectCodec.value(object)),
-                    expectedVersion(request.getExpectedVersion()));
-            checkWait(request.getWaitMillis());
-            return writer.change(state -> new ConfigWriter.EditStep(change, object))
-                    .thenCompose(revision -> rollouts.await(revision, request.getWaitMillis())
-                            .thenApply(everywhere -> ApplyResponse.newBuilder()
+                    validExpectedVersion(request.getExpectedVersion()));
+            requireValidWait(request.getWaitMillis());
+            return writer.change(state -> new ConfigWriter.EvaluatedEdit(change, object))
+                    .thenCompose(revision -> revisionWaits
+                            .await(revision, request.getWaitMillis())
+                            .thenApply(inForceEverywhere -> ApplyResponse.newBuilder()
                                     .setRevision(revision)
-                                    .setInForceEverywhere(everywhere)
+                                    .setInForceEverywhere(inForceEverywhere)
                                     .build()));
         });
     }
@@ -164,26 +165,27 @@
                     request.getChangeId(),
                     ObjectCodec.key(request.getKind(), request.getName()),
                     Optional.empty(),
-                    expectedVersion(request.getExpectedVersion()));
-            checkWait(request.getWaitMillis());
-            return writer.change(state -> new ConfigWriter.EditStep(change, null))
-                    .thenCompose(revision -> rollouts.await(revision, request.getWaitMillis())
-                            .thenApply(everywhere -> DeleteResponse.newBuilder()
+                    validExpectedVersion(request.getExpectedVersion()));
+            requireValidWait(request.getWaitMillis());
+            return writer.change(state -> new ConfigWriter.EvaluatedEdit(change, null))
+                    .thenCompose(revision -> revisionWaits
+                            .await(revision, request.getWaitMillis())
+                            .thenApply(inForceEverywhere -> DeleteResponse.newBuilder()
                                     .setRevision(revision)
-                                    .setInForceEverywhere(everywhere)
+                                    .setInForceEverywhere(inForceEverywhere)
                                     .build()));
         });
     }
 
-    /** Marks an upstream as leaving or as back in service; keeps all other fields. */
+    /** Marks an upstream as draining or as back in service; keeps all other fields. */
     public CompletableFuture<SetDrainingResponse> setDraining(SetDrainingRequest request) {
         ObjectKey key = new ObjectKey(ObjectKind.UPSTREAM, request.getUpstream());
-        return Futures.on(context.control(), () -> writer.change(state -> drainingStep(request, key))
+        return Futures.on(context.control(), () -> writer.change(state -> drainingEdit(request, key))
                 .thenApply(revision ->
                         SetDrainingResponse.newBuilder().setRevision(revision).build()));
     }
 
-    private ConfigWriter.EditStep drainingStep(SetDrainingRequest request, ObjectKey key) {
+    private ConfigWriter.EvaluatedEdit drainingEdit(SetDrainingRequest request, ObjectKey key) {
         ConfigObject object = find(reader.loaded(), key)
                 .orElseThrow(() -> new AgatelaneException(FailureType.NOT_FOUND, key + " does not exist"));
         UpstreamSpec spec = object.getUpstream().toBuilder()
@@ -192,21 +194,21 @@
         ConfigObject changed = object.toBuilder().setUpstream(spec).build();
         ChangeRequest change = new ChangeRequest(
                 request.getChangeId(), key, Optional.of(ObjectCodec.value(changed)), object.getVersion());
-        return new ConfigWriter.EditStep(change, changed);
+        return new ConfigWriter.EvaluatedEdit(change, changed);
     }
 
-    private void advanced(LoadedConfig newConfig) {
+    private void adopt(LoadedConfig newConfig) {
         ConfigState before = loaded.state();
         ConfigSnapshot newSnapshot = newConfig.state().snapshot();
         loaded = newConfig;
         snapshot = newSnapshot;
-        collector.replaced(before, newConfig.state());
-        rollouts.check();
+        garbageCollector.recordReplaced(before, newConfig.state());
+        revisionWaits.check();
         for (Consumer<ConfigSnapshot> listener : listeners) {
             try {
                 listener.accept(newSnapshot);
             } catch (RuntimeException e) {
-                // The change is committed; a listener's fault must not make it look failed.
+                // The change is committed; a listener that throws must not make it look failed.
                 LOG.event("config_listener_failed")
                         .with("revision", newSnapshot.revision())
                         .error(e);
@@ -221,7 +223,7 @@
                 .findFirst();
     }
 
-    private static long expectedVersion(long version) {
+    private static long validExpectedVersion(long version) {
         if (version < ChangeRequest.ANY_VERSION) {
             throw new AgatelaneException(
                             FailureType.INVALID_OBJECT, "expected a version, 0 for a new object, or -1 for any version")
@@ -230,7 +232,7 @@
         return version;
     }
 
-    private static void checkWait(int waitMillis) {
+    private static void requireValidWait(int waitMillis) {
         if (waitMillis < 0) {
             throw new AgatelaneException(FailureType.INVALID_OBJECT, "expected a time of 0 or more")
                     .withLocation("/wait_millis");
--- a/agatelane-node/src/main/java/io/agatelane/node/config/ConfigSpread.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/config/ConfigSynchronizer.java
@@ -24,20 +24,21 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Decides from where this router learns about new revisions: the first start, the watch of the head when this router is
- * one of its region's watchers, announcements of peers, and answers to peers. Runs on the control thread.
+ * Keeps the configuration of this router up to date: reads it at the start, watches the head when this router is one of
+ * its region's watchers, fetches revisions that peers announce, and serves the queries of peers. Runs on the control
+ * thread.
  */
-final class ConfigSpread {
-    private static final EventLog LOG = EventLog.of(ConfigSpread.class);
-    private static final long MAX_START_MILLIS = 3_000;
-    private static final long PEERS_AT_START_MILLIS = 300;
-    private static final int PEERS_AT_START = 2;
-    private static final long RETRY_MILLIS = 500;
+final class ConfigSynchronizer {
+    private static final EventLog LOG = EventLog.of(ConfigSynchronizer.class);
+    private static final long MAX_START_WAIT_MILLIS = 3_000;
+    private static final long MAX_START_PEER_WAIT_MILLIS = 300;
+    private static final int START_PEER_COUNT = 2;
+    private static final long RETRY_PERIOD_MILLIS = 500;
     private static final int MAX_PEER_FAILURES = 3;
-    private static final int MAX_OPEN_PEER_READS = 2;
-    private static final long PEER_LATE_MILLIS = 300;
-    // Keeps an answer well below the frame limit of the peer protocol; the caller asks again for the rest.
-    private static final int MAX_ANSWER_BYTES = 512 * 1024;
+    private static final int MAX_OPEN_PEER_QUERIES = 2;
+    private static final long SECOND_PEER_DELAY_MILLIS = 300;
+    // Keeps a response well below the frame limit of the peer protocol; the querying router requests the rest again.
+    private static final int MAX_RESPONSE_BYTES = 512 * 1024;
 
     private final NodeContext context;
     private final KeyValueStore store;
@@ -45,19 +46,19 @@
     private final PeerTransport peers;
     private final ConfigReader reader;
     private final CompletableFuture<Void> started = new CompletableFuture<>();
-    private final Set<String> asked = new HashSet<>();
+    private final Set<String> openPeerQueries = new HashSet<>();
     private Subscription membershipChanges = () -> {};
     private Subscription retries = () -> {};
     private Subscription watch;
     private String announcedBy = "";
     private long announcedRevision;
-    private long lastAskedMillis;
+    private long lastPeerQueryMillis;
     private int peerFailures;
-    private boolean platformRead;
+    private boolean platformReadDone;
     private boolean readingPlatform;
     private boolean closed;
 
-    ConfigSpread(
+    ConfigSynchronizer(
             NodeContext context,
             KeyValueStore store,
             MembershipView membership,
@@ -71,17 +72,17 @@
     }
 
     CompletableFuture<Void> start() {
-        peers.onRequest(PeerFrame.BodyCase.CONFIG_QUERY, this::answer);
+        peers.onRequest(PeerFrame.BodyCase.CONFIG_QUERY, this::handleQuery);
         membershipChanges = membership.onChange(members -> membersChanged());
-        retries = context.timers().every("config_retry", RETRY_MILLIS, this::retry);
-        context.timers().after(MAX_START_MILLIS, () -> started.complete(null));
+        retries = context.timers().every("config_retry", RETRY_PERIOD_MILLIS, this::retry);
+        context.timers().after(MAX_START_WAIT_MILLIS, () -> started.complete(null));
         CompletableFuture<Void> peerReads = readFromPeersAtStart();
         Futures.whenDone(readPlatform(), context.control(), (head, failure) -> {
             if (failure == null) {
                 Futures.forward(peerReads, started);
             }
         });
-        chooseWatch();
+        updateWatch();
         return started;
     }
 
@@ -94,8 +95,8 @@
         }
     }
 
-    /** A peer has a revision. */
-    void announced(String vmName, long revision) {
+    /** Handles the announcement that a peer has a revision in force. */
+    void revisionAnnounced(String vmName, long revision) {
         if (closed || revision <= reader.revision()) {
             return;
         }
@@ -103,29 +104,29 @@
             announcedRevision = revision;
             announcedBy = vmName;
         }
-        if (mayAskPeer()) {
-            askPeer(vmName);
+        if (mayQueryPeer()) {
+            queryPeer(vmName);
         }
     }
 
-    // All routers announce a change at about the same time, and one of them is enough. A second one is asked when the
-    // first is late.
-    private boolean mayAskPeer() {
-        boolean late = context.timers().monotonicMillis() - lastAskedMillis >= PEER_LATE_MILLIS;
-        return asked.isEmpty() || (late && asked.size() < MAX_OPEN_PEER_READS);
+    // All routers announce a change at about the same time, and a query to one of them is enough. A second one is
+    // queried when the first responds late.
+    private boolean mayQueryPeer() {
+        boolean late = context.timers().monotonicMillis() - lastPeerQueryMillis >= SECOND_PEER_DELAY_MILLIS;
+        return openPeerQueries.isEmpty() || (late && openPeerQueries.size() < MAX_OPEN_PEER_QUERIES);
     }
 
-    private void askPeer(String vmName) {
-        if (!asked.add(vmName)) {
+    private void queryPeer(String vmName) {
+        if (!openPeerQueries.add(vmName)) {
             return;
         }
-        lastAskedMillis = context.timers().monotonicMillis();
+        lastPeerQueryMillis = context.timers().monotonicMillis();
         long before = reader.revision();
-        Futures.whenDone(reader.fromPeer(vmName), context.control(), (unused, failure) -> {
-            asked.remove(vmName);
-            peerAnswered(vmName, failure);
+        Futures.whenDone(reader.fetchFromPeer(vmName), context.control(), (unused, failure) -> {
+            openPeerQueries.remove(vmName);
+            peerReadEnded(vmName, failure);
             peerFailures = failure == null ? 0 : peerFailures + 1;
-            // A peer that has nothing newer after all is not asked again at once; the regular retry does that.
+            // A peer that turns out to have nothing newer is queried again only by the periodic retry, not at once.
             if (failure != null || reader.revision() > before) {
                 catchUp();
             }
@@ -134,29 +135,29 @@
 
     private CompletableFuture<Void> readFromPeersAtStart() {
         List<Member> others = others();
-        CompletableFuture<Void> settled = new CompletableFuture<>();
+        CompletableFuture<Void> peersRead = new CompletableFuture<>();
         if (others.isEmpty()) {
-            settled.complete(null);
-            return settled;
+            peersRead.complete(null);
+            return peersRead;
         }
-        context.timers().after(PEERS_AT_START_MILLIS, () -> settled.complete(null));
+        context.timers().after(MAX_START_PEER_WAIT_MILLIS, () -> peersRead.complete(null));
         List<String> names = WatcherChoice.ranked(
                 "config/start/" + context.settings().vmName(),
                 others.stream().map(Member::name).toList(),
-                PEERS_AT_START);
-        AtomicInteger open = new AtomicInteger(names.size());
+                START_PEER_COUNT);
+        AtomicInteger openReads = new AtomicInteger(names.size());
         for (String name : names) {
-            Futures.whenDone(reader.fromPeer(name), context.control(), (unused, failure) -> {
-                peerAnswered(name, failure);
-                if (open.decrementAndGet() == 0) {
-                    settled.complete(null);
+            Futures.whenDone(reader.fetchFromPeer(name), context.control(), (unused, failure) -> {
+                peerReadEnded(name, failure);
+                if (openReads.decrementAndGet() == 0) {
+                    peersRead.complete(null);
                 }
             });
         }
-        return settled;
+        return peersRead;
     }
 
-    private void peerAnswered(String vmName, AgatelaneException failure) {
+    private void peerReadEnded(String vmName, AgatelaneException failure) {
         if (failure != null) {
             LOG.event("config_peer_failed")
                     .with("vm", vmName)
@@ -169,11 +170,11 @@
 
     private CompletableFuture<KeyValue> readPlatform() {
         readingPlatform = true;
-        CompletableFuture<KeyValue> read = reader.fromPlatform();
+        CompletableFuture<KeyValue> read = reader.readFromPlatform();
         Futures.whenDone(read, context.control(), (head, failure) -> {
             readingPlatform = false;
             if (failure == null) {
-                platformRead = true;
+                platformReadDone = true;
             } else {
                 LOG.event("config_platform_read_failed")
                         .with("cause", failure.getMessage())
@@ -183,9 +184,9 @@
         return read;
     }
 
-    // Until the first successful read, the platform is asked again; announcements that failed are tried again.
+    // Reads the platform again until a read succeeds, and retries announced revisions that could not be fetched.
     private void retry() {
-        if (!platformRead && !readingPlatform) {
+        if (!platformReadDone && !readingPlatform) {
             Futures.whenDone(readPlatform(), context.control(), (head, failure) -> {
                 if (failure == null) {
                     started.complete(null);
@@ -197,44 +198,47 @@
 
     private void catchUp() {
         boolean announcerAhead = announcedRevision > reader.revision();
-        List<Member> ahead = others().stream()
+        List<Member> membersAhead = others().stream()
                 .filter(member -> member.configRevision() > reader.revision()
                         || (announcerAhead && member.name().equals(announcedBy)))
                 .toList();
-        ahead = ahead.stream().filter(member -> !asked.contains(member.name())).toList();
-        if (ahead.isEmpty() || !mayAskPeer()) {
+        membersAhead = membersAhead.stream()
+                .filter(member -> !openPeerQueries.contains(member.name()))
+                .toList();
+        if (membersAhead.isEmpty() || !mayQueryPeer()) {
             return;
         }
         if (peerFailures >= MAX_PEER_FAILURES) {
-            // The regular retry reads the platform; meanwhile announcements may still reach a peer.
+            // The periodic retry then reads the platform; until then, further announcements may still lead to a peer.
             peerFailures = 0;
-            platformRead = false;
+            platformReadDone = false;
             return;
         }
-        Member next = ahead.get(peerFailures % ahead.size());
-        askPeer(next.name());
+        Member next = membersAhead.get(peerFailures % membersAhead.size());
+        queryPeer(next.name());
     }
 
     private void membersChanged() {
-        chooseWatch();
-        if (reader.revision() == 0 && !platformRead) {
-            others().stream().limit(PEERS_AT_START).forEach(member -> announced(member.name(), 1));
+        updateWatch();
+        if (reader.revision() == 0 && !platformReadDone) {
+            others().stream().limit(START_PEER_COUNT).forEach(member -> revisionAnnounced(member.name(), 1));
         }
         catchUp();
     }
 
-    private void chooseWatch() {
-        boolean wanted = !closed
-                && WatcherChoice.watchers(context.settings().region(), Regions.routersOf(context, membership))
+    private void updateWatch() {
+        boolean shouldWatch = !closed
+                && WatcherChoice.watchers(
+                                context.settings().region(), RegionMembers.liveRouterNames(context, membership))
                         .contains(context.settings().vmName());
-        if (wanted && watch == null) {
+        if (shouldWatch && watch == null) {
             LOG.event("config_watch_started").info();
             watch = store.watch(ShardLayout.HEAD_KEY, this::headWritten);
-            // Writes before the watch are found by a read; at the start that read is already on its way.
+            // A read finds the writes from before the watch; at the start that read is already in flight.
             if (!readingPlatform) {
                 var unused = readPlatform();
             }
-        } else if (!wanted && watch != null) {
+        } else if (!shouldWatch && watch != null) {
             LOG.event("config_watch_ended").info();
             watch.cancel();
             watch = null;
@@ -247,29 +251,30 @@
                 LOG.event("config_head_not_applied")
                         .with("cause", failure.getMessage())
                         .warning();
-                // The regular retry reads the head again.
-                platformRead = false;
+                // The periodic retry reads the head again.
+                platformReadDone = false;
             }
         });
     }
 
-    private CompletableFuture<PeerFrame> answer(String fromVm, PeerFrame frame) {
+    private CompletableFuture<PeerFrame> handleQuery(String fromVm, PeerFrame frame) {
         ConfigQuery query = frame.getConfigQuery();
         if (query.getKnownRevision() > reader.revision()) {
-            announced(fromVm, query.getKnownRevision());
+            revisionAnnounced(fromVm, query.getKnownRevision());
         }
         LoadedConfig loaded = reader.loaded();
-        // The caller has the changes up to the revision that it knows; that one shows that the histories are the same.
+        // The querying router has the changes up to its known revision; the change of that revision shows whether the
+        // histories are the same.
         Head head = loaded.state().head().withChangesSince(query.getKnownRevision());
-        ConfigAnswer.Builder answer = ConfigAnswer.newBuilder().setHead(StoreCodec.encode(head));
+        ConfigAnswer.Builder response = ConfigAnswer.newBuilder().setHead(StoreCodec.encode(head));
         if (query.getKnownRevision() < loaded.revision()) {
-            addShards(answer, query, loaded);
+            addShards(response, query, loaded);
         }
         return CompletableFuture.completedFuture(
-                PeerFrame.newBuilder().setConfigAnswer(answer).build());
+                PeerFrame.newBuilder().setConfigAnswer(response).build());
     }
 
-    private static void addShards(ConfigAnswer.Builder answer, ConfigQuery query, LoadedConfig loaded) {
+    private static void addShards(ConfigAnswer.Builder response, ConfigQuery query, LoadedConfig loaded) {
         int bytes = 0;
         for (ConfigShard shard : loaded.messages()) {
             int index = shard.getIndex();
@@ -278,10 +283,10 @@
                 continue;
             }
             bytes += shard.getSerializedSize();
-            if (bytes > MAX_ANSWER_BYTES && answer.getShardsCount() > 0) {
+            if (bytes > MAX_RESPONSE_BYTES && response.getShardsCount() > 0) {
                 return;
             }
-            answer.addShards(shard);
+            response.addShards(shard);
         }
     }
 
--- a/agatelane-node/src/main/java/io/agatelane/node/config/ConfigWriter.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/config/ConfigWriter.java
@@ -30,23 +30,23 @@
  * Commits changes: writes the changed shard under a new key, then moves the head by compare-and-swap.
  *
  * <p>All methods run on the control thread. The changes of this router are committed one after another, so that they do
- * not lose races against each other.
+ * not conflict with each other.
  */
 final class ConfigWriter {
     private static final EventLog LOG = EventLog.of(ConfigWriter.class);
     private static final int MAX_ATTEMPTS = 100;
-    private static final long MAX_MILLIS = 10_000;
-    private static final int FIRST_PAUSE_MILLIS = 16;
-    private static final int MAX_PAUSE_DOUBLINGS = 5;
+    private static final long MAX_CHANGE_MILLIS = 10_000;
+    private static final int INITIAL_BACKOFF_MILLIS = 16;
+    private static final int MAX_BACKOFF_DOUBLINGS = 5;
 
     private final NodeContext context;
     private final KeyValueStore store;
     private final MembershipView membership;
     private final ConfigReader reader;
     private final UniformRandomProvider random;
-    private final Counter accepted;
-    private final Counter refused;
-    private CompletableFuture<Long> last = CompletableFuture.completedFuture(0L);
+    private final Counter acceptedChanges;
+    private final Counter refusedChanges;
+    private CompletableFuture<Long> previousChange = CompletableFuture.completedFuture(0L);
 
     ConfigWriter(
             NodeContext context,
@@ -59,52 +59,54 @@
         this.membership = membership;
         this.reader = reader;
         this.random = random;
-        this.accepted = context.metrics().counter("config.changes_accepted");
-        this.refused = context.metrics().counter("config.changes_refused");
+        this.acceptedChanges = context.metrics().counter("config.changes_accepted");
+        this.refusedChanges = context.metrics().counter("config.changes_refused");
     }
 
     /** Commits a change and returns its revision. */
     CompletableFuture<Long> change(Edit edit) {
-        CompletableFuture<Long> result =
-                Futures.compose(last, context.control(), (unused, failure) -> new Attempts(edit).next());
-        last = result;
-        Futures.whenDone(result, Runnable::run, (revision, failure) -> (failure == null ? accepted : refused).inc());
+        CompletableFuture<Long> result = Futures.compose(
+                previousChange, context.control(), (unused, failure) -> new CommitRetries(edit).tryCommit());
+        previousChange = result;
+        Futures.whenDone(
+                result, Runnable::run, (revision, failure) -> (failure == null ? acceptedChanges : refusedChanges)
+                        .inc());
         return result;
     }
 
-    /** A change as a function of the state, for changes that depend on the current value of the object. */
-    interface Edit extends Function<ConfigState, EditStep> {}
+    /** Computes a change from the current state, because a change may depend on the current value of the object. */
+    interface Edit extends Function<ConfigState, EvaluatedEdit> {}
 
     /**
-     * One evaluation of a change.
+     * A change as computed from one state.
      *
      * @param object the new object; null to delete it
      */
-    record EditStep(ChangeRequest request, ConfigObject object) {}
+    record EvaluatedEdit(ChangeRequest request, ConfigObject object) {}
 
-    private final class Attempts {
+    private final class CommitRetries {
         private final Edit edit;
         private final long startMillis;
-        private int count;
-        // Set once a write of the head may have taken effect without a reply.
+        private int attempts;
+        // Set once a write of the head may have taken effect although no response arrived.
         private boolean outcomeUnknown;
         private String lastObstacle = "";
 
-        private Attempts(Edit edit) {
+        private CommitRetries(Edit edit) {
             this.edit = edit;
             this.startMillis = context.timers().monotonicMillis();
         }
 
-        private CompletableFuture<Long> next() {
-            if (count++ >= MAX_ATTEMPTS || context.timers().monotonicMillis() - startMillis > MAX_MILLIS) {
-                return CompletableFuture.failedFuture(gaveUp());
+        private CompletableFuture<Long> tryCommit() {
+            if (attempts++ >= MAX_ATTEMPTS || context.timers().monotonicMillis() - startMillis > MAX_CHANGE_MILLIS) {
+                return CompletableFuture.failedFuture(retriesExhausted());
             }
-            CompletableFuture<KeyValue> head = reader.fromPlatform();
-            return thenOrElse(head, this::commit, this::readFailed);
+            CompletableFuture<KeyValue> head = reader.readFromPlatform();
+            return thenOrElse(head, this::commitOnto, this::readFailed);
         }
 
         private CompletableFuture<Long> readFailed(AgatelaneException failure) {
-            // A regressed head is replaced by the repair, which takes a few calls.
+            // HeadRepair replaces a regressed head, which takes a few calls to the platform.
             if (outcomeUnknown || failure.type() == FailureType.CONFIG_REGRESSED) {
                 lastObstacle = failure.getMessage();
                 return retryLater();
@@ -112,22 +114,22 @@
             return CompletableFuture.failedFuture(failure);
         }
 
-        private CompletableFuture<Long> commit(KeyValue headValue) {
+        private CompletableFuture<Long> commitOnto(KeyValue headValue) {
             LoadedConfig base = reader.loaded();
-            // The reader may have moved past this head meanwhile; the swap would fail in any case.
+            // The reader may have advanced past this head in the meantime; the swap would then fail anyway.
             Head read = headValue.value().length == 0 ? Head.empty() : StoreCodec.decodeHead(headValue.value());
             if (read.revision() != base.revision()) {
-                return next();
+                return tryCommit();
             }
-            Optional<Member> ahead = ahead(base.revision());
+            Optional<Member> ahead = findMemberAhead(base.revision());
             if (ahead.isPresent()) {
                 return catchUp(ahead.get());
             }
             ChangePlan plan;
-            EditStep step;
+            EvaluatedEdit evaluated;
             try {
-                step = edit.apply(base.state());
-                plan = ChangePlanner.plan(base.state(), step.request(), random.nextInt());
+                evaluated = edit.apply(base.state());
+                plan = ChangePlanner.plan(base.state(), evaluated.request(), random.nextInt());
             } catch (AgatelaneException e) {
                 return CompletableFuture.failedFuture(e);
             }
@@ -135,12 +137,12 @@
                 return CompletableFuture.completedFuture(plan.change().revision());
             }
             int index = plan.shard().index();
-            ConfigObject stored = step.object() == null
+            ConfigObject stored = evaluated.object() == null
                     ? null
-                    : step.object().toBuilder()
+                    : evaluated.object().toBuilder()
                             .setVersion(plan.change().revision())
                             .build();
-            ConfigShard shard = StoreCodec.change(
+            ConfigShard shard = StoreCodec.replaceObject(
                     base.messages().get(index),
                     plan.shard().version(),
                     plan.change().key(),
@@ -148,12 +150,13 @@
             return writeShard(plan, shard, headValue);
         }
 
-        // A router ahead of the platform's head shows that the platform was restored to an older state. A change on top
-        // of that head would undo accepted ones, so this router first takes over what the other one has.
+        // A router with a newer revision than the platform's head shows that the platform was restored to an older
+        // state. A change on top of that head would undo accepted changes, so this router first fetches the newer
+        // state.
         private CompletableFuture<Long> catchUp(Member ahead) {
             lastObstacle = "router " + ahead.name() + " has revision " + ahead.configRevision()
                     + " in force, which the platform does not hold";
-            return thenOrElse(reader.fromPeer(ahead.name()), unused -> retryLater(), failure -> retryLater());
+            return thenOrElse(reader.fetchFromPeer(ahead.name()), unused -> retryLater(), failure -> retryLater());
         }
 
         private CompletableFuture<Long> writeShard(ChangePlan plan, ConfigShard shard, KeyValue headValue) {
@@ -170,7 +173,7 @@
                     store.compareAndSet(key, 0, bytes),
                     unused -> writeHead(plan, shard, bytes, headValue),
                     failure -> switch (failure.type()) {
-                            // Another writer took this key; the next attempt chooses another one.
+                            // Another writer has used this key; the next attempt chooses another one.
                         case SWAP_LOST -> retryLater();
                         case WRITE_OUTCOME_UNKNOWN -> thenOrElse(
                                 store.get(key),
@@ -190,16 +193,17 @@
             return thenOrElse(
                     store.compareAndSet(ShardLayout.HEAD_KEY, headValue.revision(), bytes),
                     unused -> {
-                        accepted(plan, shard, head);
+                        recordAccepted(plan, shard, head);
                         return CompletableFuture.completedFuture(plan.change().revision());
                     },
                     failure -> switch (failure.type()) {
                         case SWAP_LOST -> {
-                            lastObstacle = "it lost the race against other changes";
+                            lastObstacle = "other changes were committed first";
                             yield retryLater();
                         }
                         case WRITE_OUTCOME_UNKNOWN -> {
-                            // The next attempt finds the change in the head, or competes with the write on its way.
+                            // The next attempt finds the change in the head, or competes with the write that is still
+                            // in flight.
                             outcomeUnknown = true;
                             yield retryLater();
                         }
@@ -207,34 +211,34 @@
                     });
         }
 
-        private void accepted(ChangePlan plan, ConfigShard shard, Head head) {
+        private void recordAccepted(ChangePlan plan, ConfigShard shard, Head head) {
             Change change = plan.change();
             LOG.event("config_change_accepted")
                     .with("revision", change.revision())
                     .with("object", change.key())
                     .with("change_id", change.id())
-                    .with("attempts", count)
+                    .with("attempts", attempts)
                     .info();
             if (reader.loaded().state() == plan.base()) {
-                reader.committed(plan.base().advance(head, List.of(plan.shard())), shard);
+                reader.adoptCommitted(plan.base().advance(head, List.of(plan.shard())), shard);
             }
         }
 
         private CompletableFuture<Long> retryLater() {
             CompletableFuture<Long> result = new CompletableFuture<>();
-            int bound = FIRST_PAUSE_MILLIS << Math.min(MAX_PAUSE_DOUBLINGS, count / 4);
-            context.timers().after(1 + random.nextInt(bound), () -> Futures.forward(next(), result));
+            int bound = INITIAL_BACKOFF_MILLIS << Math.min(MAX_BACKOFF_DOUBLINGS, attempts / 4);
+            context.timers().after(1 + random.nextInt(bound), () -> Futures.forward(tryCommit(), result));
             return result;
         }
 
-        // Without the head a written shard has no effect, so the change was certainly not accepted.
+        // A shard has no effect until the head refers to it, so the change was certainly not accepted.
         private CompletableFuture<Long> notCommitted(AgatelaneException failure) {
             return CompletableFuture.failedFuture(
                     new AgatelaneException(FailureType.PLATFORM_UNAVAILABLE, failure.getMessage(), failure)
                             .withLocation(failure.location()));
         }
 
-        private AgatelaneException gaveUp() {
+        private AgatelaneException retriesExhausted() {
             if (outcomeUnknown) {
                 return new AgatelaneException(
                                 FailureType.WRITE_OUTCOME_UNKNOWN,
@@ -243,11 +247,11 @@
             }
             return new AgatelaneException(
                             FailureType.PLATFORM_UNAVAILABLE,
-                            "the change was not accepted after " + (count - 1) + " attempts: " + lastObstacle)
+                            "the change was not accepted after " + (attempts - 1) + " attempts: " + lastObstacle)
                     .withLocation(ShardLayout.HEAD_KEY);
         }
 
-        private Optional<Member> ahead(long revision) {
+        private Optional<Member> findMemberAhead(long revision) {
             return membership.liveMembers().stream()
                     .filter(member -> !member.name().equals(context.settings().vmName()))
                     .filter(member -> member.configRevision() > revision)
--- a/agatelane-node/src/main/java/io/agatelane/node/config/HeadRepair.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/config/HeadRepair.java
@@ -27,7 +27,7 @@
     private final KeyValueStore store;
     private final MembershipView membership;
     private final ConfigReader reader;
-    private boolean running;
+    private boolean repairRunning;
 
     HeadRepair(NodeContext context, KeyValueStore store, MembershipView membership, ConfigReader reader) {
         this.context = context;
@@ -36,20 +36,20 @@
         this.reader = reader;
     }
 
-    /** Replaces a head that is older than the state held here. */
+    /** Replaces a head that is older than the state of this router, unless another router has a newer state. */
     void repair(KeyValue regressedHead) {
         LoadedConfig loaded = reader.loaded();
         boolean newerElsewhere =
                 membership.liveMembers().stream().anyMatch(member -> member.configRevision() > loaded.revision());
-        if (running || newerElsewhere) {
+        if (repairRunning || newerElsewhere) {
             return;
         }
-        running = true;
+        repairRunning = true;
         byte[] head = StoreCodec.encode(loaded.state().head()).toByteArray();
         CompletableFuture<Long> written = writeShards(loaded, regressedHead)
                 .thenCompose(unused -> store.compareAndSet(ShardLayout.HEAD_KEY, regressedHead.revision(), head));
         Futures.whenDone(written, context.control(), (revision, failure) -> {
-            running = false;
+            repairRunning = false;
             if (failure == null) {
                 LOG.event("config_head_written_back")
                         .with("revision", loaded.revision())
@@ -62,15 +62,15 @@
         });
     }
 
-    // The restored state holds the shards that its own head lists; the others may be missing.
+    // The restored platform contains the shards that its own head lists; all others may be missing.
     private CompletableFuture<Void> writeShards(LoadedConfig loaded, KeyValue regressedHead) {
-        Head old = StoreCodec.decodeHead(regressedHead.value());
+        Head regressed = StoreCodec.decodeHead(regressedHead.value());
         List<CompletableFuture<Void>> writes = new ArrayList<>();
         ConfigState state = loaded.state();
         for (ConfigShard message : loaded.messages()) {
             int index = message.getIndex();
             if (message.getVersion() == 0
-                    || message.getVersion() == old.shardVersions().get(index)) {
+                    || message.getVersion() == regressed.shardVersions().get(index)) {
                 continue;
             }
             byte[] bytes = message.toByteArray();
@@ -83,7 +83,7 @@
         return CompletableFuture.allOf(writes.toArray(new CompletableFuture<?>[0]));
     }
 
-    // A key that exists already holds the same bytes, because shard versions are never written twice.
+    // If the key already exists, it has the same bytes, because a shard version is never written with other content.
     private CompletableFuture<Void> writeShard(String key, byte[] bytes) {
         return store.compareAndSet(key, 0, bytes).<Void>handle((revision, failure) -> {
             if (failure != null && AgatelaneException.from(failure).type() != FailureType.SWAP_LOST) {
--- a/agatelane-node/src/main/java/io/agatelane/node/config/LoadedConfig.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/config/LoadedConfig.java
@@ -10,8 +10,8 @@
 import java.util.stream.IntStream;
 
 /**
- * A state together with the messages from which its shards were decoded. Peers and changes use the messages, because
- * these keep fields of a newer schema.
+ * A configuration state together with the messages from which its shards were decoded. Responses to peers and changes
+ * are built from the messages, because these preserve fields of a newer schema.
  */
 record LoadedConfig(ConfigState state, List<ConfigShard> messages) {
     LoadedConfig {
@@ -27,7 +27,7 @@
                         .toList());
     }
 
-    /** The configuration at a newer state; changed messages that the state does not hold are left out. */
+    /** Returns the configuration at a newer state; ignores changed messages whose version the state does not use. */
     LoadedConfig with(ConfigState newState, Collection<ConfigShard> changed) {
         List<ConfigShard> newMessages = new ArrayList<>(messages);
         for (Shard shard : newState.shards()) {
--- a/agatelane-node/src/main/java/io/agatelane/node/config/ObjectCodec.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/config/ObjectCodec.java
@@ -20,12 +20,12 @@
 import io.agatelane.wire.operator.ServiceSpec;
 import io.agatelane.wire.operator.UpstreamSpec;
 
-/** Converts configuration objects between the schema and the values of core. */
+/** Converts configuration objects between their protobuf messages and the value types of the core module. */
 final class ObjectCodec {
     private ObjectCodec() {}
 
     /**
-     * Identity of an object.
+     * Returns the key of an object.
      *
      * @throws AgatelaneException with {@code INVALID_OBJECT} when it has no spec
      */
@@ -46,7 +46,7 @@
     }
 
     /**
-     * Identity of an object that is named by kind and name.
+     * Returns the key for a kind and a name.
      *
      * @throws AgatelaneException with {@code INVALID_OBJECT} when the kind is not set or not known
      */
--- a/agatelane-node/src/main/java/io/agatelane/node/config/RolloutWaits.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/config/RevisionWaitController.java
@@ -16,13 +16,14 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Waits until all live routers have a revision in force. Gossip tells their revisions; a router that gossip has not
- * confirmed is asked directly, which also tells it about the new revision. Runs on the control thread.
+ * Waits until all live routers have a revision in force. Routers announce their revisions by gossip; a router that has
+ * not announced the revision is queried directly, which also announces the new revision to it. Runs on the control
+ * thread.
  */
-final class RolloutWaits {
+final class RevisionWaitController {
     private static final long CHECK_PERIOD_MILLIS = 100;
-    // Gossip of a region usually needs less than this.
-    private static final long ASK_AFTER_MILLIS = 500;
+    // Gossip within a region is usually faster than this.
+    private static final long QUERY_DELAY_MILLIS = 500;
     private static final long PEER_TIMEOUT_MILLIS = 1_000;
     private static final int MAX_OPEN_QUERIES = 16;
 
@@ -30,12 +31,12 @@
     private final MembershipView membership;
     private final PeerTransport peers;
     private final ConfigReader reader;
-    private final Rollout<CompletableFuture<Boolean>> rollout = new Rollout<>(ASK_AFTER_MILLIS);
-    private final Set<String> asked = new HashSet<>();
+    private final Rollout<CompletableFuture<Boolean>> waits = new Rollout<>(QUERY_DELAY_MILLIS);
+    private final Set<String> openQueries = new HashSet<>();
     private Subscription membershipChanges = () -> {};
     private Subscription checks;
 
-    RolloutWaits(NodeContext context, MembershipView membership, PeerTransport peers, ConfigReader reader) {
+    RevisionWaitController(NodeContext context, MembershipView membership, PeerTransport peers, ConfigReader reader) {
         this.context = context;
         this.membership = membership;
         this.peers = peers;
@@ -55,7 +56,7 @@
     CompletableFuture<Boolean> await(long revision, long waitMillis) {
         CompletableFuture<Boolean> result = new CompletableFuture<>();
         context.control().execute(() -> {
-            rollout.add(result, revision, context.timers().monotonicMillis(), waitMillis);
+            waits.add(result, revision, context.timers().monotonicMillis(), waitMillis);
             if (checks == null) {
                 checks = context.timers().every("config_rollout", CHECK_PERIOD_MILLIS, this::check);
             }
@@ -65,7 +66,7 @@
     }
 
     void check() {
-        if (rollout.isEmpty()) {
+        if (waits.isEmpty()) {
             return;
         }
         String self = context.settings().vmName();
@@ -75,16 +76,16 @@
                         member.incarnation(),
                         member.name().equals(self) ? reader.revision() : member.configRevision()))
                 .toList();
-        var step = rollout.evaluate(context.timers().monotonicMillis(), live);
-        if (rollout.isEmpty()) {
+        var evaluation = waits.evaluate(context.timers().monotonicMillis(), live);
+        if (waits.isEmpty()) {
             stopChecks();
         }
-        step.ended().forEach(ended -> ended.owner().complete(ended.everywhere()));
-        step.routersToAsk().forEach(name -> membership.member(name).ifPresent(this::ask));
+        evaluation.ended().forEach(ended -> ended.owner().complete(ended.everywhere()));
+        evaluation.routersToAsk().forEach(name -> membership.member(name).ifPresent(this::queryRevision));
     }
 
-    private void ask(Member member) {
-        if (asked.size() >= MAX_OPEN_QUERIES || !asked.add(member.name())) {
+    private void queryRevision(Member member) {
+        if (openQueries.size() >= MAX_OPEN_QUERIES || !openQueries.add(member.name())) {
             return;
         }
         PeerFrame query = PeerFrame.newBuilder()
@@ -92,12 +93,12 @@
                         .setKnownRevision(reader.revision())
                         .addAllKnownShardVersions(reader.loaded().state().head().shardVersions()))
                 .build();
-        CompletableFuture<PeerFrame> answer = peers.request(member.name(), query, PEER_TIMEOUT_MILLIS);
-        Futures.whenDone(answer, context.control(), (frame, failure) -> {
-            asked.remove(member.name());
+        CompletableFuture<PeerFrame> response = peers.request(member.name(), query, PEER_TIMEOUT_MILLIS);
+        Futures.whenDone(response, context.control(), (frame, failure) -> {
+            openQueries.remove(member.name());
             if (failure == null) {
                 long revision = frame.getConfigAnswer().getHead().getRevision();
-                rollout.confirm(member.name(), member.incarnation(), revision);
+                waits.confirm(member.name(), member.incarnation(), revision);
                 check();
             }
         });
--- a/agatelane-node/src/main/java/io/agatelane/node/config/ShardCollector.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/config/ShardGarbageCollector.java
@@ -18,13 +18,13 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Deletes shard versions some time after they were replaced. All routers remember the replaced versions; the one that
- * ranks first deletes them, so that the work continues when that router is lost. Runs on the control thread.
+ * Deletes shard versions some time after they were replaced. All routers record the replaced versions, but only the
+ * router that ranks first deletes them; when it is lost, the next one takes over. Runs on the control thread.
  */
-final class ShardCollector {
-    private static final EventLog LOG = EventLog.of(ShardCollector.class);
-    private static final long PERIOD_MILLIS = 30_000;
-    // Finds versions of changes that were never committed, and those replaced while no router remembered them.
+final class ShardGarbageCollector {
+    private static final EventLog LOG = EventLog.of(ShardGarbageCollector.class);
+    private static final long COLLECT_PERIOD_MILLIS = 30_000;
+    // The sweep finds versions of changes that were never committed, and versions whose replacement no router recorded.
     private static final long SWEEP_PERIOD_MILLIS = 3_600_000;
 
     private final NodeContext context;
@@ -32,10 +32,10 @@
     private final MembershipView membership;
     private final ConfigReader reader;
     private final ShardRetention retention = new ShardRetention();
-    private Subscription collects = () -> {};
-    private Subscription sweeps = () -> {};
+    private Subscription collectTimer = () -> {};
+    private Subscription sweepTimer = () -> {};
 
-    ShardCollector(NodeContext context, KeyValueStore store, MembershipView membership, ConfigReader reader) {
+    ShardGarbageCollector(NodeContext context, KeyValueStore store, MembershipView membership, ConfigReader reader) {
         this.context = context;
         this.store = store;
         this.membership = membership;
@@ -43,26 +43,26 @@
     }
 
     void start() {
-        collects = context.timers().every("config_collect", PERIOD_MILLIS, this::collect);
-        sweeps = context.timers().every("config_sweep", SWEEP_PERIOD_MILLIS, this::sweep);
+        collectTimer = context.timers().every("config_collect", COLLECT_PERIOD_MILLIS, this::collect);
+        sweepTimer = context.timers().every("config_sweep", SWEEP_PERIOD_MILLIS, this::sweep);
     }
 
     void close() {
-        collects.cancel();
-        sweeps.cancel();
+        collectTimer.cancel();
+        sweepTimer.cancel();
     }
 
-    /** Remembers the versions that a new state no longer uses. */
-    void replaced(ConfigState before, ConfigState after) {
+    /** Records the versions that a new state no longer uses. */
+    void recordReplaced(ConfigState before, ConfigState after) {
         retention.replaced(before, after, context.timers().monotonicMillis());
     }
 
     private void collect() {
-        List<String> due = retention.takeDue(context.timers().monotonicMillis());
+        List<String> expired = retention.takeDue(context.timers().monotonicMillis());
         if (!isCollector()) {
             return;
         }
-        for (String key : due) {
+        for (String key : expired) {
             Futures.whenDone(store.get(key), context.control(), (found, failure) -> {
                 if (failure == null) {
                     found.ifPresent(this::delete);
--- a/agatelane-node/src/main/java/io/agatelane/node/config/StoreCodec.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/config/StoreCodec.java
@@ -17,7 +17,7 @@
 import java.util.Comparator;
 import java.util.List;
 
-/** Converts heads and shards between their stored form and the values of core. */
+/** Converts heads and shards between their stored protobuf form and the value types of the core module. */
 final class StoreCodec {
     private StoreCodec() {}
 
@@ -69,7 +69,7 @@
     }
 
     static Shard decode(ConfigShard shard) {
-        // An object of a kind that this version does not know is kept in the message and not used.
+        // An object of a kind that this software version does not know stays in the message but is not used.
         List<StoredObject> objects = shard.getObjectsList().stream()
                 .filter(object -> object.getSpecCase() != ConfigObject.SpecCase.SPEC_NOT_SET)
                 .map(ObjectCodec::decode)
@@ -83,9 +83,9 @@
 
     /**
      * Returns the next version of a shard with one object replaced, added or removed. The other objects are copied as
-     * messages, so that fields of a newer schema survive.
+     * messages, so that fields of a newer schema are preserved.
      */
-    static ConfigShard change(ConfigShard before, long version, ObjectKey key, ConfigObject replacement) {
+    static ConfigShard replaceObject(ConfigShard before, long version, ObjectKey key, ConfigObject replacement) {
         List<ConfigObject> objects = new ArrayList<>();
         for (ConfigObject object : before.getObjectsList()) {
             boolean known = object.getSpecCase() != ConfigObject.SpecCase.SPEC_NOT_SET;
--- a/agatelane-node/src/main/java/io/agatelane/node/config/package-info.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/config/package-info.java
@@ -1,2 +1,2 @@
-/** The configuration of this router: reading, changing, spreading and cleaning up. */
+/** The configuration of this router: reading, changing, propagating it, and deleting replaced versions. */
 package io.agatelane.node.config;
--- a/agatelane-node/src/test/java/io/agatelane/node/config/ConfigChangesTest.java
+++ b/agatelane-node/src/test/java/io/agatelane/node/config/ConfigChangesTest.java
@@ -35,7 +35,7 @@
         return new Object[][] {{11L}, {12L}, {13L}};
     }
 
-    /** Guards against two operators that both believe that they created the same object. */
+    /** Guards against two concurrent operator calls that both report the creation of the same object. */
     @Test
     public void oneOfTwoCreatorsLosesWithTheActualVersion() {
         ConfigCluster cluster = ConfigCluster.of(2);
@@ -50,9 +50,12 @@
         assertEquals(((ConflictException) lost).actualVersion(), 1);
     }
 
-    /** Guards against a change that is applied twice, or reported as failed, because a reply was lost. */
+    /**
+     * Guards against a change that is applied twice, or reported as failed, because the response of the platform was
+     * lost.
+     */
     @Test(dataProvider = "seeds")
-    public void lostRepliesApplyEachChangeOnce(long seed) {
+    public void lostResponsesApplyEachChangeOnce(long seed) {
         UniformRandomProvider random = RandomSource.SPLIT_MIX_64.create(seed);
         ConfigCluster cluster = ConfigCluster.of(3);
         List<ApplyRequest> requests = new ArrayList<>();
@@ -76,13 +79,14 @@
         assertEquals(cluster.node(1).router.revision(), requests.size());
     }
 
-    /** Guards against an unknown outcome that is reported as "not done" (I5), and against a second effect on repeat. */
+    /** Guards against an unknown outcome that is reported as "not done" (invariant I5), or applied twice on a retry. */
     @Test
-    public void lostReplyFollowedByOutageIsUnknownUntilRepeated() {
+    public void lostResponseFollowedByOutageIsUnknownUntilRepeated() {
         ConfigCluster cluster = ConfigCluster.of(2);
         ApplyRequest request = ConfigCluster.policy("p", 1, 0, "id");
         CompletableFuture<?> call = cluster.node(1).router.apply(request);
-        // 4 ms each: the read of the head, the shard, and half of the write of the head.
+        // Platform calls take 4 ms each: the read of the head, the write of the shard, and part of the write of the
+        // head.
         cluster.control.advance(9);
         cluster.platform.loseReplies(1);
         cluster.control.advance(2);
@@ -95,12 +99,14 @@
         assertEquals(cluster.node(2).router.revision(), 1);
     }
 
-    /** Guards against a shard that was written and never committed and then blocks all changes of that shard. */
+    /** Guards against a written shard that was never committed and blocks all later changes of that shard. */
     @Test
     public void uncommittedShardBlocksNoLaterChange() {
         ConfigCluster cluster = ConfigCluster.of(2);
         CompletableFuture<?> call = cluster.node(1).router.apply(ConfigCluster.policy("p", 1, 0, "a"));
-        // 4 ms each: the read of the head, and the write of the shard, which takes effect after half the time.
+        // Platform calls take 4 ms each: the read of the head, and the write of the shard, which takes effect after
+        // half
+        // that time.
         cluster.control.advance(7);
         cluster.platform.setOutage(true);
         AgatelaneException failure = cluster.failure(call);
@@ -112,9 +118,9 @@
         assertEquals(cluster.node(2).deadlineOf("p"), 2);
     }
 
-    /** Guards against changes that wait or pretend to be accepted during an outage. */
+    /** Guards against changes that hang, or are reported as accepted, during an outage of the platform. */
     @Test
-    public void outageRefusesChangesAndKeepsTheConfiguration() {
+    public void outageRefusesChangesAndPreservesTheConfiguration() {
         ConfigCluster cluster = ConfigCluster.of(3);
         cluster.await(cluster.node(1).router.apply(ConfigCluster.policy("p", 1, 0, "a")));
         cluster.settle();
@@ -131,7 +137,7 @@
         cluster.nodes.values().forEach(node -> assertEquals(node.deadlineOf("p"), 2));
     }
 
-    /** Guards against a change identity that hides a different change. */
+    /** Guards against a reused change identity, which would make a different change look like a repeat. */
     @Test
     public void changeIdentityBelongsToOneObject() {
         ConfigCluster cluster = ConfigCluster.of(1);
@@ -144,9 +150,9 @@
         assertEquals(missing.location(), "/change_id");
     }
 
-    /** Guards against a drain that resets other fields of the upstream, and against dangling references. */
+    /** Guards against draining that resets other fields of the upstream, and against references to missing objects. */
     @Test
-    public void drainingKeepsOtherFieldsAndReferencesHold() {
+    public void drainingPreservesOtherFieldsAndReferencesAreChecked() {
         ConfigCluster cluster = ConfigCluster.of(2);
         ConfigObject model = ConfigObject.newBuilder()
                 .setName("m")
@@ -191,12 +197,12 @@
         assertEquals(used.location(), "/upstream/e");
     }
 
-    /** Guards against any difference from a plain map, under lost replies and repeats, whichever router is asked. */
+    /** Compares the service with a plain map under lost responses and repeated changes, whichever router is called. */
     @Test(dataProvider = "seeds")
     public void behavesLikeAMap(long seed) {
         UniformRandomProvider random = RandomSource.SPLIT_MIX_64.create(seed);
         ConfigCluster cluster = ConfigCluster.of(4);
-        Reference reference = new Reference();
+        ReferenceModel reference = new ReferenceModel();
         for (int i = 0; i < 250; i++) {
             ConfigService service = cluster.node(1 + random.nextInt(4)).service();
             String name = "p" + random.nextInt(6);
@@ -204,10 +210,10 @@
             long[] expected = {-1, 0, reference.version(name), reference.version(name) - 1};
             long version = Math.max(-1, expected[random.nextInt(expected.length)]);
             cluster.platform.loseReplies(random.nextInt(10) == 0 ? 1 : 0);
-            String wanted;
+            String expectedOutcome;
             String actual;
             if (random.nextInt(4) == 0) {
-                wanted = reference.change(name, -1, version, id);
+                expectedOutcome = reference.change(name, -1, version, id);
                 actual = outcome(
                         cluster,
                         service.delete(DeleteRequest.newBuilder()
@@ -217,10 +223,10 @@
                                 .setChangeId(id)
                                 .build()));
             } else {
-                wanted = reference.change(name, i + 1, version, id);
+                expectedOutcome = reference.change(name, i + 1, version, id);
                 actual = outcome(cluster, service.apply(ConfigCluster.policy(name, i + 1, version, id)));
             }
-            assertEquals(actual, wanted, "operation " + i);
+            assertEquals(actual, expectedOutcome, "operation " + i);
             cluster.control.advance(2 * ConfigCluster.GOSSIP_MILLIS);
             ConfigService reader = cluster.node(1 + random.nextInt(4)).service();
             assertEquals(contents(reader), reference.contents(), "after operation " + i);
@@ -255,8 +261,8 @@
                 .build();
     }
 
-    /** The naive version: one map in one process. */
-    private static final class Reference {
+    /** ReferenceModel model: one map in one process. */
+    private static final class ReferenceModel {
         private final Map<String, Long> versions = new HashMap<>();
         private final Map<String, Integer> values = new TreeMap<>();
         private final Map<String, Long> accepted = new HashMap<>();
--- a/agatelane-node/src/test/java/io/agatelane/node/config/ConfigCluster.java
+++ b/agatelane-node/src/test/java/io/agatelane/node/config/ConfigCluster.java
@@ -24,7 +24,7 @@
 import java.util.TreeMap;
 import java.util.concurrent.CompletableFuture;
 
-/** Several routers in one process on a clock that a test moves. Gossip delivers revisions every 200 ms. */
+/** Runs several routers in one process on a simulated clock. Gossip delivers revisions every 200 ms. */
 final class ConfigCluster {
     static final long GOSSIP_MILLIS = 200;
 
@@ -75,7 +75,7 @@
                 .build();
     }
 
-    /** Starts a router, or starts it again with an empty memory. */
+    /** Starts a router, or restarts it without its previous state. */
     Node start(String name) {
         stop(name);
         FakeMembership membership = new FakeMembership(name);
@@ -103,7 +103,7 @@
         return nodes.get(name(index));
     }
 
-    /** Runs the clock until a call has ended and returns its value. */
+    /** Advances the clock until a call has ended and returns its value. */
     <T> T await(CompletableFuture<T> call) {
         for (int i = 0; i < 30_000 && !call.isDone(); i++) {
             control.advance(1);
@@ -111,7 +111,7 @@
         return call.join();
     }
 
-    /** Runs the clock until a call has failed and returns the failure. */
+    /** Advances the clock until a call has ended and returns its failure. */
     AgatelaneException failure(CompletableFuture<?> call) {
         try {
             await(call);
@@ -121,7 +121,7 @@
         return new AgatelaneException(FailureType.INTERNAL, "the call succeeded");
     }
 
-    /** Runs the clock until no router has anything left to do. */
+    /** Advances the clock long enough for all routers to finish pending work. */
     void settle() {
         control.advance(3_000);
     }
@@ -134,13 +134,13 @@
             long revision = from.router.revision();
             for (Node to : nodes.values()) {
                 if (to != from && !withoutGossip.contains(to.name)) {
-                    to.hear(from, revision);
+                    to.receiveGossip(from, revision);
                 }
             }
         }
     }
 
-    /** What the scenarios need of a router. */
+    /** The operations of a router that the tests use; implemented by the real and by the unprotected service. */
     interface Router {
         CompletableFuture<?> start();
 
@@ -185,10 +185,10 @@
             return new Member(name, incarnation, MemberState.ALIVE, "127.0.0.1:1", "zone-a", revision);
         }
 
-        private void hear(Node from, long revision) {
-            Member heard = from.member(revision);
-            if (!membership.member(from.name).equals(Optional.of(heard))) {
-                membership.put(heard);
+        private void receiveGossip(Node from, long revision) {
+            Member received = from.member(revision);
+            if (!membership.member(from.name).equals(Optional.of(received))) {
+                membership.put(received);
                 router.announced(from.name, revision);
             }
         }
--- a/agatelane-node/src/test/java/io/agatelane/node/config/ConfigInvariantsTest.java
+++ b/agatelane-node/src/test/java/io/agatelane/node/config/ConfigInvariantsTest.java
@@ -20,50 +20,59 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** I3 and I9 on the router's configuration, and the same checks failing on the naive one. */
+/**
+ * Checks that a router restarts without the platform (invariant I3) and that accepted configuration changes are neither
+ * lost nor reverted (I9). Each check must also fail on {@link NaiveConfigService}, which has no protection.
+ */
 public class ConfigInvariantsTest {
     @DataProvider
     public Object[][] seeds() {
         return new Object[][] {{1L}, {2L}, {3L}, {4L}, {5L}};
     }
 
-    /** Guards against accepted changes that a concurrent change overwrites (I9). */
+    /** Guards against accepted changes that a concurrent change overwrites (invariant I9). */
     @Test(dataProvider = "seeds")
-    public void concurrentChangesAreAllKept(long seed) {
-        assertEquals(race(seed, false), List.of());
+    public void concurrentChangesAreNotLost(long seed) {
+        assertEquals(findLostChanges(seed, false), List.of());
     }
 
-    /** Shows that the race check finds lost changes. */
+    /** Shows that the check for concurrent changes detects lost ones. */
     @Test(dataProvider = "seeds")
     public void naiveVersionLosesConcurrentChanges(long seed) {
-        assertFalse(race(seed, true).isEmpty());
+        assertFalse(findLostChanges(seed, true).isEmpty());
     }
 
-    /** Guards against a return to an earlier configuration after the platform was restored (I9). */
+    /** Guards against a return to an earlier configuration after the platform was restored (invariant I9). */
     @Test
     public void restoredPlatformRevertsNothing() {
-        assertEquals(restore(false), List.of());
+        assertEquals(findRevertedChanges(false), List.of());
     }
 
-    /** Shows that the restore check finds reverted changes. */
+    /** Shows that the check after a restore detects reverted changes. */
     @Test
     public void naiveVersionRevertsAfterRestore() {
-        assertFalse(restore(true).isEmpty());
+        assertFalse(findRevertedChanges(true).isEmpty());
     }
 
-    /** Guards against a cold start of a router that restarts while the platform is unavailable (I3). */
+    /**
+     * Guards against a router without configuration after a restart while the platform is unavailable (invariant
+     * I3).
+     */
     @Test
     public void restartDuringOutageServesAtOnce() {
-        assertEquals(restartDuringOutage(false), List.of());
+        assertEquals(findRoutersWithoutConfig(false), List.of());
     }
 
-    /** Shows that the restart check finds a router without configuration. */
+    /** Shows that the check after a restart detects a router without configuration. */
     @Test
     public void naiveVersionStartsEmptyDuringOutage() {
-        assertFalse(restartDuringOutage(true).isEmpty());
+        assertFalse(findRoutersWithoutConfig(true).isEmpty());
     }
 
-    /** Guards against a change on top of a restored state by a router that gossip tells about a newer one (I9). */
+    /**
+     * Guards against a change on top of a restored older state by a router that knows from gossip that a newer state
+     * exists (invariant I9).
+     */
     @Test
     public void freshRouterDoesNotContinueARestoredState() {
         ConfigCluster cluster = restoredWithFreshRouter();
@@ -81,7 +90,7 @@
         }
     }
 
-    /** Guards against routers that follow another history with a higher revision (I9). */
+    /** Guards against routers that adopt another history of changes because its revision is higher (invariant I9). */
     @Test
     public void routersRefuseAContinuedRestoredState() {
         ConfigCluster cluster = restoredWithFreshRouter();
@@ -103,7 +112,8 @@
         assertEquals(failure.type(), FailureType.CONFIG_DIVERGED);
     }
 
-    // Routers 1 and 2 hold revision 3, the platform holds revision 1, router 3 started from it and reaches no peer.
+    // Routers 1 and 2 have revision 3, the platform has revision 1; router 3 started from the platform and reaches no
+    // peer.
     private static ConfigCluster restoredWithFreshRouter() {
         ConfigCluster cluster = ConfigCluster.of(2);
         apply(cluster, 1, "a", 1);
@@ -121,7 +131,7 @@
         return cluster;
     }
 
-    private static List<String> race(long seed, boolean naive) {
+    private static List<String> findLostChanges(long seed, boolean naive) {
         UniformRandomProvider random = RandomSource.SPLIT_MIX_64.create(seed);
         ConfigCluster cluster = ConfigCluster.of(5, naive);
         Map<String, Map<Long, Integer>> accepted = new HashMap<>();
@@ -138,7 +148,7 @@
                 if (failure == null) {
                     accepted.computeIfAbsent(name, key -> new HashMap<>()).put(response.getRevision(), value);
                     if (!revisions.add(response.getRevision())) {
-                        violations.add("revision " + response.getRevision() + " was given twice");
+                        violations.add("revision " + response.getRevision() + " was assigned twice");
                     }
                 }
             }));
@@ -158,7 +168,7 @@
         return violations;
     }
 
-    private static List<String> restore(boolean naive) {
+    private static List<String> findRevertedChanges(boolean naive) {
         ConfigCluster cluster = ConfigCluster.of(4, naive);
         List<String> violations = new ArrayList<>();
         apply(cluster, 1, "a", 1);
@@ -180,7 +190,7 @@
         return violations;
     }
 
-    private static List<String> restartDuringOutage(boolean naive) {
+    private static List<String> findRoutersWithoutConfig(boolean naive) {
         ConfigCluster cluster = ConfigCluster.of(3, naive);
         apply(cluster, 1, "a", 1);
         cluster.settle();
@@ -188,7 +198,7 @@
         List<String> violations = new ArrayList<>();
         for (int i = 1; i <= 3; i++) {
             ConfigCluster.Node node = cluster.start(ConfigCluster.name(i));
-            // A start from a peer needs one round trip; I3 allows no wait for the platform.
+            // A start from a peer takes one round trip; invariant I3 allows no wait for the platform.
             cluster.control.advance(20);
             if (!node.started.isDone() || node.deadlineOf("a") != 1) {
                 violations.add(node.name + " has no configuration");
--- a/agatelane-node/src/test/java/io/agatelane/node/config/ConfigSpreadTest.java
+++ b/agatelane-node/src/test/java/io/agatelane/node/config/ConfigSynchronizerTest.java
@@ -22,15 +22,18 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-public class ConfigSpreadTest {
-    private static final long BOUND_MILLIS = 8_000;
+public class ConfigSynchronizerTest {
+    private static final long MAX_IN_FORCE_MILLIS = 8_000;
 
     @DataProvider
     public Object[][] routerCounts() {
         return new Object[][] {{3}, {10}, {25}, {50}};
     }
 
-    /** Guards against platform reads or watches that grow with the number of routers, and against late changes (I9). */
+    /**
+     * Guards against platform reads or watches that grow with the number of routers, and against changes that come into
+     * force too late (invariant I9).
+     */
     @Test(dataProvider = "routerCounts")
     public void platformCallsDoNotGrowWithRouters(int routers) {
         UniformRandomProvider random = RandomSource.SPLIT_MIX_64.create(routers);
@@ -67,7 +70,7 @@
         assertTrue(readsPerChange <= 3, "reads per change: " + readsPerChange);
         assertTrue(writesPerChange <= 2, "writes per change: " + writesPerChange);
         assertTrue(peerReadsPerRouter <= 1, "peer reads: " + peerReadsPerRouter);
-        assertTrue(slowestMillis <= BOUND_MILLIS, "slowest: " + slowestMillis);
+        assertTrue(slowestMillis <= MAX_IN_FORCE_MILLIS, "slowest: " + slowestMillis);
     }
 
     private static long peerReads(ConfigCluster cluster) {
@@ -76,9 +79,12 @@
                 .sum();
     }
 
-    /** Guards against a restart of all routers that overloads the platform or leaves one without configuration (I3). */
+    /**
+     * Guards against a restart of all routers that overloads the platform or leaves one without configuration (invariant
+     * I3).
+     */
     @Test(dataProvider = "routerCounts")
-    public void herdOfRestartsReadsTwicePerRouter(int routers) {
+    public void simultaneousRestartsReadTwicePerRouter(int routers) {
         ConfigCluster cluster = ConfigCluster.of(routers);
         for (int i = 0; i < 100; i++) {
             cluster.await(cluster.node(1).router.apply(ConfigCluster.policy("p" + i, i + 1, 0, "id-" + i)));
@@ -100,39 +106,39 @@
         assertTrue(readsPerRouter <= 2 + 2.0 / routers, "reads per router: " + readsPerRouter);
     }
 
-    /** Guards against routers that ask each other without a pause for a revision that none of them has. */
+    /** Guards against routers that query each other without pause for a revision that none of them has. */
     @Test
-    public void peerWithoutTheAnnouncedRevisionIsAskedInTurns() {
+    public void peerWithoutTheAnnouncedRevisionIsQueriedPeriodically() {
         ConfigCluster cluster = ConfigCluster.of(3);
         long before = peerReads(cluster);
         cluster.node(1).router.announced(ConfigCluster.name(2), 100);
         cluster.control.advance(10_000);
-        // One read for the announcement and one for each regular retry, which comes each 500 ms.
+        // One read for the announcement and one for each periodic retry, which runs every 500 ms.
         long reads = peerReads(cluster) - before;
         assertTrue(reads <= 21, "peer reads: " + reads);
     }
 
     /** Guards against a change that waits for the timeout of the peer that announced it. */
     @Test
-    public void secondPeerIsAskedWhenTheFirstIsLate() {
+    public void secondPeerIsQueriedWhenTheFirstIsLate() {
         ConfigCluster cluster = ConfigCluster.of(6);
         List<String> watchers = WatcherChoice.watchers("region-1", cluster.nodes.keySet());
         ConfigCluster.Node reader = cluster.nodes.values().stream()
                 .filter(node -> !watchers.contains(node.name))
                 .findFirst()
                 .orElseThrow();
-        // The first peer to announce does not answer.
-        String silent = cluster.nodes.keySet().stream()
+        // The first peer that announces the change does not respond.
+        String unresponsive = cluster.nodes.keySet().stream()
                 .filter(name -> !name.equals(reader.name))
                 .findFirst()
                 .orElseThrow();
-        cluster.network.cut(silent, reader.name);
+        cluster.network.cut(unresponsive, reader.name);
         cluster.await(cluster.nodes.get(watchers.get(0)).router.apply(ConfigCluster.policy("p", 1, 0, "id")));
         cluster.control.advance(ConfigCluster.GOSSIP_MILLIS + 800);
         assertEquals(reader.deadlineOf("p"), 1);
     }
 
-    /** Guards against a start that waits for a slow platform although a peer could answer (I3). */
+    /** Guards against a start that waits for a slow platform although a peer could respond (invariant I3). */
     @Test
     public void startDoesNotWaitForASlowPlatform() {
         ConfigCluster cluster = ConfigCluster.of(2);
@@ -145,9 +151,9 @@
         assertEquals(restarted.deadlineOf("p"), 1);
     }
 
-    /** Guards against a start that never ends when neither the platform nor a peer answers. */
+    /** Guards against a start that never ends when neither the platform nor a peer responds. */
     @Test
-    public void startIsBoundedAndGoesOnInTheBackground() {
+    public void startIsBoundedAndContinuesInTheBackground() {
         ConfigCluster cluster = new ConfigCluster(false);
         cluster.platform.setOutage(true);
         ConfigCluster.Node node = cluster.start(ConfigCluster.name(1));
@@ -161,9 +167,9 @@
                 1);
     }
 
-    /** Guards against a configuration that does not fit into one answer of a peer. */
+    /** Guards against a configuration that does not fit into one response of a peer. */
     @Test
-    public void largeConfigurationComesInSeveralAnswers() {
+    public void largeConfigurationArrivesInSeveralResponses() {
         ConfigCluster cluster = ConfigCluster.of(2);
         List<CompletableFuture<ApplyResponse>> calls = new ArrayList<>();
         for (int i = 0; i < 400; i++) {
@@ -178,9 +184,9 @@
         assertEquals(restarted.service().current().accounts().size(), 400);
     }
 
-    /** Guards against changes that are noticed by nobody after the watchers of a region are lost. */
+    /** Guards against changes that no router detects after all watchers of a region are lost. */
     @Test
-    public void otherRoutersTakeOverTheWatch() {
+    public void remainingRoutersTakeOverTheWatch() {
         ConfigCluster cluster = ConfigCluster.of(5);
         List<String> watchers = WatcherChoice.watchers("region-1", cluster.nodes.keySet());
         watchers.forEach(cluster::stop);
@@ -188,18 +194,21 @@
                 .values()
                 .forEach(node -> watchers.forEach(name -> node.membership.put(name, MemberState.DEAD, 9)));
         cluster.settle();
-        List<String> left = List.copyOf(cluster.nodes.keySet());
-        cluster.withoutGossip.addAll(left);
-        cluster.await(cluster.nodes.get(left.get(0)).router.apply(ConfigCluster.policy("p", 1, 0, "id")));
+        List<String> remaining = List.copyOf(cluster.nodes.keySet());
+        cluster.withoutGossip.addAll(remaining);
+        cluster.await(cluster.nodes.get(remaining.get(0)).router.apply(ConfigCluster.policy("p", 1, 0, "id")));
         cluster.control.advance(100);
-        List<String> newWatchers = WatcherChoice.watchers("region-1", left);
+        List<String> newWatchers = WatcherChoice.watchers("region-1", remaining);
         newWatchers.forEach(name -> assertEquals(cluster.nodes.get(name).deadlineOf("p"), 1, name));
         cluster.withoutGossip.clear();
         cluster.settle();
         cluster.nodes.values().forEach(node -> assertEquals(node.deadlineOf("p"), 1, node.name));
     }
 
-    /** Guards against an operator call that reports "in force everywhere" too early, or never when gossip is silent. */
+    /**
+     * Guards against an operator call that reports "in force everywhere" too early, or that never does when gossip does
+     * not arrive.
+     */
     @Test
     public void waitsUntilEachLiveRouterHasTheRevision() {
         ConfigCluster cluster = ConfigCluster.of(4);
@@ -207,18 +216,18 @@
         assertTrue(reached.getInForceEverywhere());
         cluster.nodes.values().forEach(node -> assertEquals(node.deadlineOf("p"), 1, node.name));
 
-        // Gossip alone does not confirm; the router is asked directly and so learns about the change.
+        // Without gossip the router is queried directly; the query also announces the change to it.
         cluster.withoutGossip.add(ConfigCluster.name(4));
-        ApplyResponse asked = cluster.await(cluster.node(1).router.apply(waiting("p", 2)));
-        assertTrue(asked.getInForceEverywhere());
+        ApplyResponse queried = cluster.await(cluster.node(1).router.apply(waiting("p", 2)));
+        assertTrue(queried.getInForceEverywhere());
         assertEquals(cluster.node(4).deadlineOf("p"), 2);
 
         for (int i = 1; i <= 3; i++) {
             cluster.network.cut(ConfigCluster.name(i), ConfigCluster.name(4));
             cluster.network.cut(ConfigCluster.name(4), ConfigCluster.name(i));
         }
-        ApplyResponse cutOff = cluster.await(cluster.node(1).router.apply(waiting("p", 3)));
-        assertFalse(cutOff.getInForceEverywhere());
+        ApplyResponse unreachable = cluster.await(cluster.node(1).router.apply(waiting("p", 3)));
+        assertFalse(unreachable.getInForceEverywhere());
     }
 
     /** Guards against shard versions that are deleted while readers may need them, or never. */
@@ -239,7 +248,7 @@
         cluster.control.advance(60_000);
         assertFalse(shardKeys(cluster).contains(first));
         assertEquals(shardKeys(cluster).size(), 2);
-        // A version that was never committed is found by the second of two sweeps.
+        // The second of two sweeps finds a version that was never committed.
         cluster.control.advance(2 * 3_600_000);
         assertFalse(shardKeys(cluster).contains(orphan));
         assertEquals(shardKeys(cluster).size(), 1);
@@ -262,9 +271,9 @@
         assertEquals(restarted.router.revision(), 100);
     }
 
-    /** Guards against a damaged shard that is taken over. */
+    /** Guards against a router that adopts a damaged shard. */
     @Test
-    public void damagedShardIsRefusedAndTakenFromAPeer() {
+    public void damagedShardIsRefusedAndFetchedFromAPeer() {
         ConfigCluster cluster = ConfigCluster.of(2);
         cluster.await(cluster.node(1).router.apply(ConfigCluster.policy("p", 1, 0, "id")));
         cluster.settle();
@@ -285,7 +294,7 @@
 
     private static long millisUntilInForce(ConfigCluster cluster, long revision) {
         long start = cluster.control.monotonicMillis();
-        while (cluster.control.monotonicMillis() - start <= BOUND_MILLIS
+        while (cluster.control.monotonicMillis() - start <= MAX_IN_FORCE_MILLIS
                 && cluster.nodes.values().stream().anyMatch(node -> node.router.revision() < revision)) {
             cluster.control.advance(1);
         }
--- a/agatelane-node/src/test/java/io/agatelane/node/config/CountingStore.java
+++ b/agatelane-node/src/test/java/io/agatelane/node/config/CountingStore.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.function.Consumer;
 
-/** Counts the reads and the open watches of one router or of all. */
+/** Counts the reads and the open watches of all routers that use this store, and can fail listings. */
 final class CountingStore implements KeyValueStore {
     private final KeyValueStore store;
     int reads;
@@ -32,7 +32,7 @@
         reads++;
         if (listingsFail) {
             return CompletableFuture.failedFuture(
-                    new AgatelaneException(FailureType.PLATFORM_UNAVAILABLE, "the reply is too large"));
+                    new AgatelaneException(FailureType.PLATFORM_UNAVAILABLE, "the response is too large"));
         }
         return store.list(prefix);
     }
--- a/agatelane-node/src/test/java/io/agatelane/node/config/NaiveConfigService.java
+++ b/agatelane-node/src/test/java/io/agatelane/node/config/NaiveConfigService.java
@@ -13,7 +13,10 @@
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 
-/** The naive way: one value for everything, the last writer wins, and a reader that takes whatever it reads. */
+/**
+ * A service without protection, on which the checks must fail: it stores the whole configuration in one value, the last
+ * writer wins, and readers adopt whatever they read.
+ */
 final class NaiveConfigService implements ConfigCluster.Router {
     private static final String KEY = "naive/config";
 
@@ -76,7 +79,7 @@
 
     @Override
     public void announced(String vmName, long revision) {
-        // A plain reader has only its watch.
+        // This service reacts only to its watch.
     }
 
     @Override
