--- a/agatelane-node/src/main/java/io/agatelane/node/api/PlatformAdapter.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/api/PlatformAdapter.java
@@ -2,11 +2,11 @@
 
 import org.eclipse.jetty.client.HttpClient;
 
-/** Creates the ports of one kind of platform. */
+/** Creates the interfaces to one kind of platform. */
 @FunctionalInterface
 public interface PlatformAdapter {
     /**
-     * Creates the ports.
+     * Creates the interfaces.
      *
      * @param client started client for calls to the store and to engines
      * @param storeAddress IP:PORT
--- a/agatelane-node/src/main/java/io/agatelane/node/config/ConfigWriter.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/config/ConfigWriter.java
@@ -90,7 +90,7 @@
         private int attempts;
         // Set once a write of the head may have taken effect although no response arrived.
         private boolean outcomeUnknown;
-        private String lastObstacle = "";
+        private String lastFailureReason = "";
 
         private CommitRetries(Edit edit) {
             this.edit = edit;
@@ -108,7 +108,7 @@
         private CompletableFuture<Long> readFailed(AgatelaneException failure) {
             // HeadRepair replaces a regressed head, which takes a few calls to the platform.
             if (outcomeUnknown || failure.type() == FailureType.CONFIG_REGRESSED) {
-                lastObstacle = failure.getMessage();
+                lastFailureReason = failure.getMessage();
                 return retryLater();
             }
             return CompletableFuture.failedFuture(failure);
@@ -154,7 +154,7 @@
         // state. A change on top of that head would undo accepted changes, so this router first fetches the newer
         // state.
         private CompletableFuture<Long> catchUp(Member ahead) {
-            lastObstacle = "router " + ahead.name() + " has revision " + ahead.configRevision()
+            lastFailureReason = "router " + ahead.name() + " has revision " + ahead.configRevision()
                     + " in force, which the platform does not hold";
             return thenOrElse(reader.fetchFromPeer(ahead.name()), unused -> retryLater(), failure -> retryLater());
         }
@@ -181,7 +181,7 @@
                                                 && Arrays.equals(found.get().value(), bytes)
                                         ? writeHead(plan, shard, bytes, headValue)
                                         : retryLater(),
-                                unread -> outcomeUnknown ? retryLater() : notCommitted(failure));
+                                readFailure -> outcomeUnknown ? retryLater() : notCommitted(failure));
                         default -> outcomeUnknown ? retryLater() : notCommitted(failure);
                     });
         }
@@ -198,7 +198,7 @@
                     },
                     failure -> switch (failure.type()) {
                         case SWAP_LOST -> {
-                            lastObstacle = "other changes were committed first";
+                            lastFailureReason = "other changes were committed first";
                             yield retryLater();
                         }
                         case WRITE_OUTCOME_UNKNOWN -> {
@@ -247,7 +247,7 @@
             }
             return new AgatelaneException(
                             FailureType.PLATFORM_UNAVAILABLE,
-                            "the change was not accepted after " + (attempts - 1) + " attempts: " + lastObstacle)
+                            "the change was not accepted after " + (attempts - 1) + " attempts: " + lastFailureReason)
                     .withLocation(ShardLayout.HEAD_KEY);
         }
 
--- a/agatelane-node/src/test/java/io/agatelane/node/config/ConfigChangesTest.java
+++ b/agatelane-node/src/test/java/io/agatelane/node/config/ConfigChangesTest.java
@@ -85,7 +85,7 @@
         ConfigCluster cluster = ConfigCluster.of(2);
         ApplyRequest request = ConfigCluster.policy("p", 1, 0, "id");
         CompletableFuture<?> call = cluster.node(1).router.apply(request);
-        // Platform calls take 4 ms each: the read of the head, the write of the shard, and part of the write of the
+        // Platform calls take 4 ms each: the read of the head, the write of the shard, and half of the write of the
         // head.
         cluster.control.advance(9);
         cluster.platform.loseReplies(1);
@@ -105,8 +105,7 @@
         ConfigCluster cluster = ConfigCluster.of(2);
         CompletableFuture<?> call = cluster.node(1).router.apply(ConfigCluster.policy("p", 1, 0, "a"));
         // Platform calls take 4 ms each: the read of the head, and the write of the shard, which takes effect after
-        // half
-        // that time.
+        // half that time.
         cluster.control.advance(7);
         cluster.platform.setOutage(true);
         AgatelaneException failure = cluster.failure(call);
@@ -261,7 +260,7 @@
                 .build();
     }
 
-    /** ReferenceModel model: one map in one process. */
+    /** Reference model: one map in one process. */
     private static final class ReferenceModel {
         private final Map<String, Long> versions = new HashMap<>();
         private final Map<String, Integer> values = new TreeMap<>();
--- a/agatelane-node/src/test/java/io/agatelane/node/config/ConfigSynchronizerTest.java
+++ b/agatelane-node/src/test/java/io/agatelane/node/config/ConfigSynchronizerTest.java
@@ -80,8 +80,8 @@
     }
 
     /**
-     * Guards against a restart of all routers that overloads the platform or leaves one without configuration (invariant
-     * I3).
+     * Guards against a restart of all routers that overloads the platform or leaves one without configuration
+     * (invariant I3).
      */
     @Test(dataProvider = "routerCounts")
     public void simultaneousRestartsReadTwicePerRouter(int routers) {
