--- a/agatelane-cli/src/main/java/io/agatelane/cli/CommandLine.java
+++ b/agatelane-cli/src/main/java/io/agatelane/cli/CommandLine.java
@@ -31,7 +31,7 @@
     private final CtlCommands ctl = new CtlCommands();
     private final JCommander parser;
 
-    /** Creates the parser. Results go to {@code out}, messages for people to {@code err}. */
+    /** Creates the parser. Results are printed to {@code out}, error messages to {@code err}. */
     public CommandLine(PrintStream out, PrintStream err, RouterLauncher launcher) {
         this.out = out;
         this.err = err;
--- a/agatelane-cli/src/main/java/io/agatelane/cli/CtlCommands.java
+++ b/agatelane-cli/src/main/java/io/agatelane/cli/CtlCommands.java
@@ -82,7 +82,8 @@
         if (!options.format.equals("table") && !options.format.equals("json")) {
             throw new ParameterException("--format: expected table or json, found " + options.format);
         }
-        // Input is read and checked before a connection is opened, so that a fault in it leaves nothing half done.
+        // Reads and checks all input before a connection is opened, so that invalid input leaves no partly applied
+        // change.
         Consumer<OperatorClient> call = prepare(command, out);
         try (OperatorClient client = new OperatorClient(options.rpc, options.timeoutMillis)) {
             call.accept(client);
@@ -153,7 +154,7 @@
                     .setObject(object)
                     .setExpectedVersion(apply.expectedVersion == null ? version : apply.expectedVersion)
                     .setChangeId(nodes.size() == 1 ? changeId : changeId + "-" + i)
-                    // Revisions are in force in order, so waiting for the last one waits for all.
+                    // Revisions take effect in order, so waiting for the last one waits for all.
                     .setWaitMillis(i == nodes.size() - 1 ? apply.waitMillis : 0)
                     .build());
         }
@@ -165,7 +166,7 @@
                             client.change(request.getChangeId(), request.getWaitMillis(), stub -> stub.apply(request)));
                 }
             } finally {
-                // The objects before one that is refused are in force.
+                // When an object is refused, the objects before it have already been applied.
                 printAll(out, accepted);
             }
         };
@@ -242,8 +243,8 @@
                 "expected a kind: client-account, model, routing-policy, service or upstream," + " found " + text);
     }
 
-    private static String changeId(String given) {
-        return given == null ? UUID.randomUUID().toString() : given;
+    private static String changeId(String requestedId) {
+        return requestedId == null ? UUID.randomUUID().toString() : requestedId;
     }
 
     private static String readFile(String file) {
--- a/agatelane-cli/src/main/java/io/agatelane/cli/DrainingLogManager.java
+++ b/agatelane-cli/src/main/java/io/agatelane/cli/DrainingLogManager.java
@@ -4,19 +4,19 @@
 
 /**
  * Keeps the log handlers open during the shutdown. The JDK's own log manager closes them in a shutdown hook that runs
- * beside the hook that drains the router, so that lines about the requests of that time were lost.
+ * beside the hook that drains the router, so that the log lines about requests that end during the shutdown were lost.
  */
 public final class DrainingLogManager extends LogManager {
-    private volatile boolean shuttingDown;
+    private volatile boolean keepsHandlers;
 
     /** Ignores resets from now on. */
     void keepHandlers() {
-        shuttingDown = true;
+        keepsHandlers = true;
     }
 
     @Override
     public void reset() {
-        if (!shuttingDown) {
+        if (!keepsHandlers) {
             super.reset();
         }
     }
--- a/agatelane-cli/src/main/java/io/agatelane/cli/ExitCode.java
+++ b/agatelane-cli/src/main/java/io/agatelane/cli/ExitCode.java
@@ -2,15 +2,15 @@
 
 /** Exit codes of the program. */
 public enum ExitCode {
-    /** The command did what was asked. */
+    /** The command succeeded. */
     DONE(0),
-    /** The command was understood and failed. */
+    /** The command was valid but failed. */
     FAILED(1),
     /** The arguments, the settings or an input file are wrong; nothing was started or sent. */
     BAD_USAGE(2),
-    /** The change lost against another change of the same object. */
+    /** The change conflicts with another change of the same object. */
     CONFLICT(3),
-    /** The router could not be reached or did not answer in time. */
+    /** The router could not be reached or did not respond in time. */
     NOT_REACHABLE(4);
 
     private final int code;
--- a/agatelane-cli/src/main/java/io/agatelane/cli/FleetProcess.java
+++ b/agatelane-cli/src/main/java/io/agatelane/cli/FleetProcess.java
@@ -24,9 +24,9 @@
         FleetSettings settings = FleetSettingsReader.read(file);
         BoundedLogHandler log = configureLogging();
         FleetNode node = FleetNode.start(settings, new UserPlatform());
-        SettingsWatch watch = new SettingsWatch(file, settings, node::apply);
-        watch.start(node.timers());
-        HangupSignal.onSignal(() -> watch.reload("signal"));
+        SettingsWatch reloader = new SettingsWatch(file, settings, node::apply);
+        reloader.start(node.timers());
+        HangupSignal.onSignal(() -> reloader.reload("signal"));
         Thread shutdown = new Thread(
                 () -> {
                     node.shutDownGracefully();
--- a/agatelane-cli/src/main/java/io/agatelane/cli/Main.java
+++ b/agatelane-cli/src/main/java/io/agatelane/cli/Main.java
@@ -6,7 +6,7 @@
 
     /** Runs the program and exits with the code of the command. */
     public static void main(String[] args) {
-        RouterProcess.chooseLogManager();
+        RouterProcess.selectLogManager();
         CommandLine commandLine = new CommandLine(System.out, System.err, new RouterProcess());
         System.exit(commandLine.run(args).code());
     }
--- a/agatelane-cli/src/main/java/io/agatelane/cli/OperatorClient.java
+++ b/agatelane-cli/src/main/java/io/agatelane/cli/OperatorClient.java
@@ -19,14 +19,14 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** Calls of one router. Failures become exit codes. */
+/** gRPC client of one router's operator service. Converts failures to exit codes. */
 final class OperatorClient implements AutoCloseable {
     private static final Pattern ADDRESS =
             Pattern.compile("(\\d{1,3}(?:\\.\\d{1,3}){3}|\\[[0-9A-Fa-f:.]+]):(\\d{1,5})");
     private static final int MAX_PORT = 65_535;
-    // 13,000 client accounts are listed in about 4 MB.
+    // A list of 13,000 client accounts takes about 4 MB.
     private static final int MAX_RESPONSE_BYTES = 64 << 20;
-    private static final long CLOSE_MILLIS = 1_000;
+    private static final long CLOSE_TIMEOUT_MILLIS = 1_000;
 
     private final String address;
     private final int timeoutMillis;
@@ -52,7 +52,10 @@
         }
     }
 
-    /** Makes a call that changes the configuration. Failures name the change identity, for a repeat. */
+    /**
+     * Makes a call that changes the configuration. When its outcome may be unknown, the error message contains the change
+     * identity, with which the call can be repeated.
+     */
     <T> T change(String changeId, long waitMillis, Function<OperatorServiceBlockingStub, T> call) {
         try {
             return call.apply(stub.withDeadlineAfter(timeoutMillis + waitMillis, TimeUnit.MILLISECONDS));
@@ -65,7 +68,7 @@
     public void close() {
         channel.shutdownNow();
         try {
-            channel.awaitTermination(CLOSE_MILLIS, TimeUnit.MILLISECONDS);
+            channel.awaitTermination(CLOSE_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -82,7 +85,7 @@
                     .orElse(e.getStatus().getDescription());
             return new CliException(ExitCode.CONFLICT, detail);
         }
-        // A router that answers names the failure type; without it the call did not get through.
+        // A router that responds sends the failure type; without it the call did not reach the router.
         boolean unreachable =
                 info.isEmpty() && (code == Status.Code.UNAVAILABLE || code == Status.Code.DEADLINE_EXCEEDED);
         if (unreachable) {
--- a/agatelane-cli/src/main/java/io/agatelane/cli/ProtoJson.java
+++ b/agatelane-cli/src/main/java/io/agatelane/cli/ProtoJson.java
@@ -44,7 +44,7 @@
         }
     }
 
-    /** Sets the fields of a message; a fault names the file and the JSON pointer. */
+    /** Sets the fields of a message; an error names the file and the JSON pointer of the value. */
     static void merge(JsonNode node, Message.Builder builder, String file, String pointer) {
         if (!node.isObject()) {
             throw fault(file, pointer, "expected an object");
@@ -52,24 +52,24 @@
         Iterator<Map.Entry<String, JsonNode>> fields = node.fields();
         while (fields.hasNext()) {
             Map.Entry<String, JsonNode> entry = fields.next();
-            String place = pointer + "/" + entry.getKey();
-            FieldDescriptor field = field(builder, entry.getKey(), file, place);
+            String valuePointer = pointer + "/" + entry.getKey();
+            FieldDescriptor field = field(builder, entry.getKey(), file, valuePointer);
             if (entry.getValue().isNull()) {
                 continue;
             }
             if (field.getContainingOneof() != null && builder.hasOneof(field.getContainingOneof())) {
-                throw fault(file, place, "expected only one of the object's specs");
+                throw fault(file, valuePointer, "expected only one of the object's specs");
             }
             if (field.isRepeated()) {
                 if (!entry.getValue().isArray()) {
-                    throw fault(file, place, "expected an array");
+                    throw fault(file, valuePointer, "expected an array");
                 }
                 int index = 0;
                 for (JsonNode element : entry.getValue()) {
-                    builder.addRepeatedField(field, value(element, field, builder, file, place + "/" + index++));
+                    builder.addRepeatedField(field, value(element, field, builder, file, valuePointer + "/" + index++));
                 }
             } else {
-                builder.setField(field, value(entry.getValue(), field, builder, file, place));
+                builder.setField(field, value(entry.getValue(), field, builder, file, valuePointer));
             }
         }
     }
@@ -113,7 +113,7 @@
         };
     }
 
-    private static FieldDescriptor field(Message.Builder builder, String name, String file, String place) {
+    private static FieldDescriptor field(Message.Builder builder, String name, String file, String valuePointer) {
         for (FieldDescriptor field : builder.getDescriptorForType().getFields()) {
             if (field.getJsonName().equals(name) || field.getName().equals(name)) {
                 return field;
@@ -122,61 +122,61 @@
         List<String> known = builder.getDescriptorForType().getFields().stream()
                 .map(FieldDescriptor::getJsonName)
                 .toList();
-        throw fault(file, place, "unknown field, expected one of " + known);
+        throw fault(file, valuePointer, "unknown field, expected one of " + known);
     }
 
     private static Object value(
-            JsonNode node, FieldDescriptor field, Message.Builder parent, String file, String place) {
+            JsonNode node, FieldDescriptor field, Message.Builder parent, String file, String valuePointer) {
         return switch (field.getJavaType()) {
-            case INT -> (int) integer(node, Integer.MIN_VALUE, Integer.MAX_VALUE, file, place);
-            case LONG -> integer(node, Long.MIN_VALUE, Long.MAX_VALUE, file, place);
-            case DOUBLE -> number(node, file, place).doubleValue();
-            case FLOAT -> number(node, file, place).floatValue();
+            case INT -> (int) integer(node, Integer.MIN_VALUE, Integer.MAX_VALUE, file, valuePointer);
+            case LONG -> integer(node, Long.MIN_VALUE, Long.MAX_VALUE, file, valuePointer);
+            case DOUBLE -> number(node, file, valuePointer).doubleValue();
+            case FLOAT -> number(node, file, valuePointer).floatValue();
             case BOOLEAN -> {
                 if (!node.isBoolean()) {
-                    throw fault(file, place, "expected true or false");
+                    throw fault(file, valuePointer, "expected true or false");
                 }
                 yield node.asBoolean();
             }
-            case STRING -> text(node, file, place);
+            case STRING -> text(node, file, valuePointer);
             case BYTE_STRING -> {
                 try {
-                    yield ByteString.copyFrom(Base64.getDecoder().decode(text(node, file, place)));
+                    yield ByteString.copyFrom(Base64.getDecoder().decode(text(node, file, valuePointer)));
                 } catch (IllegalArgumentException e) {
-                    throw fault(file, place, "expected base64");
+                    throw fault(file, valuePointer, "expected base64");
                 }
             }
             case ENUM -> {
-                EnumValueDescriptor constant = field.getEnumType().findValueByName(text(node, file, place));
+                EnumValueDescriptor constant = field.getEnumType().findValueByName(text(node, file, valuePointer));
                 if (constant == null) {
                     throw fault(
                             file,
-                            place,
+                            valuePointer,
                             "expected one of " + field.getEnumType().getValues());
                 }
                 yield constant;
             }
             case MESSAGE -> {
                 Message.Builder child = parent.newBuilderForField(field);
-                merge(node, child, file, place);
+                merge(node, child, file, valuePointer);
                 yield child.build();
             }
         };
     }
 
-    private static long integer(JsonNode node, long min, long max, String file, String place) {
+    private static long integer(JsonNode node, long min, long max, String file, String valuePointer) {
         try {
-            long value = number(node, file, place).longValueExact();
+            long value = number(node, file, valuePointer).longValueExact();
             if (value >= min && value <= max) {
                 return value;
             }
         } catch (ArithmeticException e) {
             // Reported below like a number out of range.
         }
-        throw fault(file, place, "expected an integer from " + min + " to " + max);
+        throw fault(file, valuePointer, "expected an integer from " + min + " to " + max);
     }
 
-    private static BigDecimal number(JsonNode node, String file, String place) {
+    private static BigDecimal number(JsonNode node, String file, String valuePointer) {
         try {
             if (node.isNumber() || node.isTextual()) {
                 return new BigDecimal(node.asText());
@@ -184,12 +184,12 @@
         } catch (NumberFormatException e) {
             // Reported below like any other value that is not a number.
         }
-        throw fault(file, place, "expected a number");
+        throw fault(file, valuePointer, "expected a number");
     }
 
-    private static String text(JsonNode node, String file, String place) {
+    private static String text(JsonNode node, String file, String valuePointer) {
         if (!node.isTextual()) {
-            throw fault(file, place, "expected a string");
+            throw fault(file, valuePointer, "expected a string");
         }
         return node.asText();
     }
--- a/agatelane-cli/src/main/java/io/agatelane/cli/RouterProcess.java
+++ b/agatelane-cli/src/main/java/io/agatelane/cli/RouterProcess.java
@@ -10,10 +10,10 @@
 
 /** Runs one router for the life of the process. */
 final class RouterProcess implements RouterLauncher {
-    private static final String LOGGING = "logging.properties";
+    private static final String LOGGING_CONFIG_FILE = "logging.properties";
 
-    /** Chooses the log manager. Has to run before the first use of a logger. */
-    static void chooseLogManager() {
+    /** Selects {@link DrainingLogManager} as the log manager. Must be called before the first use of a logger. */
+    static void selectLogManager() {
         System.setProperty("java.util.logging.manager", DrainingLogManager.class.getName());
     }
 
@@ -31,7 +31,7 @@
         }
     }
 
-    /** Keeps the log open until the process ends. */
+    /** Keeps the log handlers open until the process ends. */
     static void keepLogHandlers() {
         LogManager manager = LogManager.getLogManager();
         if (manager instanceof DrainingLogManager) {
@@ -39,12 +39,12 @@
         }
     }
 
-    // An operator's own configuration file, named by the JDK's system property, goes before the built-in one.
+    // An operator's own configuration file, set by the JDK's system property, takes precedence over the built-in one.
     private static void configureLogging() {
         if (System.getProperty("java.util.logging.config.file") != null) {
             return;
         }
-        try (InputStream in = RouterProcess.class.getResourceAsStream(LOGGING)) {
+        try (InputStream in = RouterProcess.class.getResourceAsStream(LOGGING_CONFIG_FILE)) {
             LogManager.getLogManager().readConfiguration(in);
             keepLogHandlers();
         } catch (IOException e) {
--- a/agatelane-cli/src/test/java/io/agatelane/cli/CommandLineTest.java
+++ b/agatelane-cli/src/test/java/io/agatelane/cli/CommandLineTest.java
@@ -26,8 +26,8 @@
             + "\"listen\":{\"httpAddress\":\"127.0.0.1:1\",\"rpcAddress\":\"127.0.0.1:2\","
             + "\"peerAddress\":\"127.0.0.1:3\"},\"platform\":{\"url\":\"http://127.0.0.1:4\"}}";
 
-    // The numbers are written as the template of the deployment writes them.
-    private static final String FLEET = "{\"vm\":{\"name\":\"v\",\"availabilityZone\":\"z\"},"
+    // The number formats are those of the deployment template.
+    private static final String VALID_FLEET = "{\"vm\":{\"name\":\"v\",\"availabilityZone\":\"z\"},"
             + "\"listen\":{\"callerAddress\":\"127.0.0.1:1\",\"readinessAddress\":\"127.0.0.1:2\","
             + "\"metricsAddress\":\"127.0.0.1:3\",\"peerAddress\":\"127.0.0.1:4\"},"
             + "\"store\":{\"address\":\"127.0.0.1:5\"},"
@@ -49,7 +49,7 @@
     }
 
     @DataProvider
-    public Object[][] helps() {
+    public Object[][] helpArguments() {
         return new Object[][] {
             {"--help"},
             {"serve --help"},
@@ -69,7 +69,7 @@
     }
 
     /** Guards against a command without usage, or one whose usage needs its required arguments. */
-    @Test(dataProvider = "helps")
+    @Test(dataProvider = "helpArguments")
     public void eachCommandShowsItsUsage(String arguments) {
         assertEquals(run(arguments.split(" ")), ExitCode.DONE, err());
         assertTrue(out().startsWith("Usage: "), out());
@@ -94,7 +94,7 @@
         };
     }
 
-    /** Guards against wrong arguments that are ignored or end with the exit code of another cause. */
+    /** Guards against invalid arguments that are ignored or reported with the wrong exit code. */
     @Test(dataProvider = "badUsages")
     public void badUsageIsExplained(String arguments, String message) {
         assertEquals(run(arguments.isEmpty() ? new String[0] : arguments.split(" ")), ExitCode.BAD_USAGE);
@@ -102,7 +102,7 @@
         assertEquals(out(), "");
     }
 
-    /** Guards against an example that the program refuses. */
+    /** Guards against an example settings file that the program refuses. */
     @Test
     public void exampleIsValid() {
         assertEquals(run("check", "--settings", EXAMPLE.toString()), ExitCode.DONE, err());
@@ -163,7 +163,7 @@
         };
     }
 
-    /** Guards against a router that starts with wrong settings, and against faults that are reported one by one. */
+    /** Guards against a router that starts with wrong settings, and against errors that are reported one per run. */
     @Test(dataProvider = "faults")
     public void allFaultsOfTheSettingsAreReportedAtOnce(String json, List<String> expected) throws IOException {
         Files.writeString(file, json);
@@ -181,9 +181,10 @@
     @DataProvider
     public Object[][] fleetFaults() {
         return new Object[][] {
-            {FLEET, List.of()},
+            {VALID_FLEET, List.of()},
             {
-                FLEET.replace("\"127.0.0.1:5\"", "\"store\"")
+                VALID_FLEET
+                        .replace("\"127.0.0.1:5\"", "\"store\"")
                         .replace("5000e-3", "\"5\"")
                         .replace("0.2", "7"),
                 List.of(
@@ -192,7 +193,7 @@
                         "/bounds/retryRatio: expected a number from 0.0 to 1.0")
             },
             {
-                FLEET.replace("true", "\"yes\"").replace("\"vm\"", "\"extra\":1,\"vm\""),
+                VALID_FLEET.replace("true", "\"yes\"").replace("\"vm\"", "\"extra\":1,\"vm\""),
                 List.of(
                         "/bounds/upstreamsCheckFencing: expected true or false, found a string",
                         "/extra: unknown field")
@@ -200,7 +201,7 @@
         };
     }
 
-    /** Guards against a fleet router that starts with wrong settings, and against faults that are reported singly. */
+    /** Guards against a fleet router that starts with wrong settings, and against errors that are reported one per run. */
     @Test(dataProvider = "fleetFaults")
     public void allFaultsOfFleetSettingsAreReportedAtOnce(String json, List<String> expected) throws IOException {
         Files.writeString(file, json);
--- a/agatelane-cli/src/test/java/io/agatelane/cli/CtlTest.java
+++ b/agatelane-cli/src/test/java/io/agatelane/cli/CtlTest.java
@@ -20,12 +20,12 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Operator calls from the command line to the gRPC port of a router. */
+/** Runs the {@code ctl} commands against the gRPC port of a router. */
 public class CtlTest {
     private static final String OBJECTS =
             """
             [
-              // An array is applied in order, so that references hold.
+              // An array is applied in order, so that an object can refer to an earlier one.
               {"name": "m", "model": {"weightsVersion": "w1", "max_context_tokens": 1000, "defaultMaxTokens": "10"}},
               {"name": "e", "upstream": {"baseUrl": "http://127.0.0.1:9", "availabilityZone": "z-1",
                 "models": ["m"], "slots": 4, "checksFencing": true}}
@@ -88,7 +88,7 @@
         assertTrue(out().contains("2         true"), out());
     }
 
-    /** Guards against a fault in a file that is sent in part or has no place. */
+    /** Guards against a faulty file that is partly sent, and against an error without the position of the fault. */
     @Test
     public void faultsOfAFileAreReportedBeforeAnythingIsSent() throws IOException {
         Files.writeString(file, OBJECTS.replace("\"slots\": 4", "\"slots\": 4.5"));
@@ -107,12 +107,12 @@
         assertTrue(err().startsWith("/upstream/models/0: upstream/e is not valid"), err());
     }
 
-    /** Guards against a router without platform that looks like one that is not reachable. */
+    /** Guards against a platform outage that is reported like an unreachable router. */
     @Test
-    public void outageAndLostRouterHaveDifferentExitCodes() throws IOException {
+    public void outageAndUnreachableRouterHaveDifferentExitCodes() throws IOException {
         router.setOutage(true);
         assertEquals(ctl("drain", "e", "--change-id", "x"), ExitCode.FAILED);
-        assertTrue(err().contains("the platform is out; to repeat the same change, use --change-id x"), err());
+        assertTrue(err().contains("the platform is unreachable; to repeat the same change, use --change-id x"), err());
         assertEquals(ctl("status"), ExitCode.DONE);
         assertTrue(out().startsWith("revision 0, platform not reachable\n"), out());
         assertTrue(out().contains("entry-1  zone-a"), out());
@@ -124,7 +124,7 @@
         assertEquals(err().lines().count(), 1, err());
     }
 
-    /** Guards against decisions that operators cannot see. */
+    /** Guards against an explanation without the chosen upstream or the scores of the candidates. */
     @Test
     public void explainsADecision() throws IOException {
         Files.writeString(file, "{}");
@@ -135,7 +135,7 @@
         assertEquals(err(), "/client_account: no such account\n");
     }
 
-    /** Guards against plain HTTP that is not served beside gRPC on the operators' port. */
+    /** Guards against an operators' port that serves only gRPC and no plain HTTP. */
     @Test
     public void plainHttpIsServedOnTheSamePort() throws Exception {
         HttpClient client = HttpClient.newHttpClient();
--- a/agatelane-cli/src/test/java/io/agatelane/cli/TestRouter.java
+++ b/agatelane-cli/src/test/java/io/agatelane/cli/TestRouter.java
@@ -35,7 +35,7 @@
 import org.eclipse.jetty.server.Response;
 import org.eclipse.jetty.util.Callback;
 
-/** One router's operator port over a platform in memory. */
+/** The operator port of one router, backed by an in-memory store. */
 final class TestRouter implements AutoCloseable {
     private final ControlThread control = new ControlThread("entry-1");
     private final MemoryStore store = new MemoryStore();
@@ -61,10 +61,11 @@
                 0,
                 42);
         NodeContext context = new NodeContext(settings, 1, control, control, new MetricRegistry());
-        Membership membership = new Membership();
+        SingleMembership membership = new SingleMembership();
         config = new ConfigService(context, store, membership, new NoPeers());
         config.start().get();
-        server = new OperatorServer(context, config, membership, new Inspector(), store, List.of(new PlainHandler()));
+        server = new OperatorServer(
+                context, config, membership, new FixedInspector(), store, List.of(new PlainHandler()));
         server.start();
     }
 
@@ -94,7 +95,7 @@
         }
     }
 
-    private static final class Inspector implements RoutingInspector {
+    private static final class FixedInspector implements RoutingInspector {
         @Override
         public List<UpstreamStatus> upstreams() {
             return List.of(
@@ -113,7 +114,7 @@
         }
     }
 
-    private static final class Membership implements MembershipView {
+    private static final class SingleMembership implements MembershipView {
         private final Member self = new Member("entry-1", 1, MemberState.ALIVE, "127.0.0.1:1", "zone-a", 0);
 
         @Override
@@ -145,7 +146,7 @@
 
         @Override
         public void onRequest(PeerFrame.BodyCase kind, Handler handler) {
-            // No peer asks.
+            // There are no peers that send requests.
         }
     }
 
@@ -212,7 +213,7 @@
 
         private static <T> CompletableFuture<T> unavailable() {
             return CompletableFuture.failedFuture(
-                    new AgatelaneException(FailureType.PLATFORM_UNAVAILABLE, "the platform is out"));
+                    new AgatelaneException(FailureType.PLATFORM_UNAVAILABLE, "the platform is unreachable"));
         }
     }
 }
