--- a/agatelane-cli/src/main/java/io/agatelane/cli/OperatorClient.java
+++ b/agatelane-cli/src/main/java/io/agatelane/cli/OperatorClient.java
@@ -53,8 +53,8 @@
     }
 
     /**
-     * Makes a call that changes the configuration. When its outcome may be unknown, the error message contains the change
-     * identity, with which the call can be repeated.
+     * Makes a call that changes the configuration. When its outcome may be unknown, the error message contains the
+     * change identity, with which the call can be repeated.
      */
     <T> T change(String changeId, long waitMillis, Function<OperatorServiceBlockingStub, T> call) {
         try {
