--- a/agatelane-lab/src/main/java/io/agatelane/lab/cli/LoadCommand.java
+++ b/agatelane-lab/src/main/java/io/agatelane/lab/cli/LoadCommand.java
@@ -4,11 +4,11 @@
 import com.beust.jcommander.Parameters;
 import io.agatelane.lab.http.LabClient;
 import io.agatelane.lab.load.ArrivalPlan;
-import io.agatelane.lab.load.LoadReport;
 import io.agatelane.lab.load.LoadRunner;
 import io.agatelane.lab.load.LocalSystem;
 import io.agatelane.lab.load.RouterTarget;
 import io.agatelane.lab.load.Workload;
+import io.agatelane.lab.load.WorkloadReport;
 import java.nio.file.Path;
 
 /** Sends a workload to a running system. */
@@ -45,7 +45,7 @@
                 running.bookingPaths().stream().findFirst().orElse(""));
         try (LabClient client = new LabClient()) {
             LoadRunner runner = new LoadRunner(client, plan, weightsVersion, target);
-            LoadReport report =
+            WorkloadReport report =
                     runner.run(ArrivalPlan.of(plan, running.apiKeys().size()));
             System.out.printf("workload %s, seed %d%n%s", plan.name(), plan.seed(), report.toTable());
             System.out.printf("hit rate %.3f%n", report.hitRate());
--- a/agatelane-lab/src/main/java/io/agatelane/lab/experiment/BlockingExperiment.java
+++ b/agatelane-lab/src/main/java/io/agatelane/lab/experiment/BlockingExperiment.java
@@ -23,16 +23,16 @@
         for (Strategy strategy : Strategy.values()) {
             Outcome alone = Runs.measure(strategy, settings.withWorkload(shortOnly));
             Outcome both = Runs.measure(strategy, settings);
-            double alonePercentile = alone.report().of("van-question").firstTokenMillis(99);
+            double alonePercentile = alone.report().statsOf("van-question").firstTokenMillis(99);
             addRow(table, strategy, alone, 0, 1.0);
-            double ratio = both.report().of("van-question").firstTokenMillis(99) / alonePercentile;
-            addRow(table, strategy, both, both.report().of("full-log").sentCount(), ratio);
+            double ratio = both.report().statsOf("van-question").firstTokenMillis(99) / alonePercentile;
+            addRow(table, strategy, both, both.report().statsOf("full-log").sentCount(), ratio);
         }
         return table.toString();
     }
 
     private static void addRow(Table table, Strategy strategy, Outcome outcome, long fullLogs, double ratio) {
-        var stats = outcome.report().of("van-question");
+        var stats = outcome.report().statsOf("van-question");
         table.row(
                 strategy.title(),
                 fullLogs,
--- a/agatelane-lab/src/main/java/io/agatelane/lab/experiment/EngineTarget.java
+++ b/agatelane-lab/src/main/java/io/agatelane/lab/experiment/EngineTarget.java
@@ -14,7 +14,7 @@
     }
 
     @Override
-    public final Call call(Arrival arrival, ObjectNode body) {
+    public final Call prepareCall(Arrival arrival, ObjectNode body) {
         String salt = saltOf(arrival);
         body.put("cache_salt", salt);
         body.put("priority", priorityOf(arrival));
--- a/agatelane-lab/src/main/java/io/agatelane/lab/experiment/Outcome.java
+++ b/agatelane-lab/src/main/java/io/agatelane/lab/experiment/Outcome.java
@@ -1,6 +1,6 @@
 package io.agatelane.lab.experiment;
 
-import io.agatelane.lab.load.LoadReport;
+import io.agatelane.lab.load.WorkloadReport;
 
 /**
  * Result of one run.
@@ -10,7 +10,7 @@
  * @param recomputedTokens tokens of blocks that were computed although an engine had computed them before
  * @param attempts requests that the engines accepted
  */
-record Outcome(LoadReport report, double hitRate, long computedTokens, long recomputedTokens, long attempts) {
+record Outcome(WorkloadReport report, double hitRate, long computedTokens, long recomputedTokens, long attempts) {
     long succeeded() {
         return report.classes().values().stream()
                 .mapToLong(stats -> stats.succeededCount())
--- a/agatelane-lab/src/main/java/io/agatelane/lab/experiment/OverheadExperiment.java
+++ b/agatelane-lab/src/main/java/io/agatelane/lab/experiment/OverheadExperiment.java
@@ -35,7 +35,7 @@
             closedLoop(strategy, settings);
             double highestRate = closedLoop(strategy, settings);
             Outcome outcome = Runs.measure(strategy, settings);
-            var stats = outcome.report().of("single");
+            var stats = outcome.report().statsOf("single");
             table.row(
                     strategy == Strategy.ROUTER ? "through a router" : "direct",
                     outcome.succeeded(),
@@ -94,7 +94,7 @@
             Arrival arrival = new Arrival(
                     index, 0, planned.workloadClass(), planned.account(), planned.texts(), "closed-" + index);
             var body = arrival.body();
-            var call = placement.target().call(arrival, body);
+            var call = placement.target().prepareCall(arrival, body);
             Map<String, String> headers = call.headers();
             var unused = client.call(HttpMethod.POST, call.url(), body, headers, 10_000)
                     .handle((answer, failure) -> {
--- a/agatelane-lab/src/main/java/io/agatelane/lab/experiment/PrefixExperiment.java
+++ b/agatelane-lab/src/main/java/io/agatelane/lab/experiment/PrefixExperiment.java
@@ -39,7 +39,7 @@
                     outcome.computedTokens(),
                     (double) outcome.computedTokens() / oracle.computedTokens(),
                     outcome.recomputedTokens(),
-                    outcome.report().of("dossier-check").firstTokenMillis(99));
+                    outcome.report().statsOf("dossier-check").firstTokenMillis(99));
         }
         return table.toString();
     }
--- a/agatelane-lab/src/main/java/io/agatelane/lab/experiment/Runs.java
+++ b/agatelane-lab/src/main/java/io/agatelane/lab/experiment/Runs.java
@@ -5,8 +5,8 @@
 import io.agatelane.lab.http.LabClient;
 import io.agatelane.lab.load.Arrival;
 import io.agatelane.lab.load.ArrivalPlan;
-import io.agatelane.lab.load.LoadReport;
 import io.agatelane.lab.load.LoadRunner;
+import io.agatelane.lab.load.WorkloadReport;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
@@ -37,7 +37,7 @@
             String weightsVersion = settings.engine().weightsVersion();
             LoadRunner runner = new LoadRunner(client, settings.workload(), weightsVersion, placement.target());
             settings.disturbance().accept(fleet);
-            LoadReport report = runner.run(plan);
+            WorkloadReport report = runner.run(plan);
             long computedTokens = fleet.total("promptTokens") - fleet.total("cachedTokens");
             long recomputed = fleet.total("computedBlockTokens") - uniqueBlockTokens(plan);
             return new Outcome(report, fleet.hitRate(), computedTokens, recomputed, fleet.total("requests"));
@@ -61,11 +61,11 @@
      * number of different blocks is too high, because no placement avoids all recomputation.
      */
     static double capacity(RunSettings overload) throws InterruptedException {
-        LoadReport report = measure(Strategy.ORACLE, overload).report();
+        WorkloadReport report = measure(Strategy.ORACLE, overload).report();
         long succeeded = report.classes().values().stream()
                 .mapToLong(stats -> stats.succeededCount())
                 .sum();
-        return succeeded * 1_000 / report.lastAnswerMillis();
+        return succeeded * 1_000 / report.lastResponseEndMillis();
     }
 
     private static PromptDigests digestsOf(Arrival arrival) {
--- a/agatelane-lab/src/main/java/io/agatelane/lab/experiment/StragglerExperiment.java
+++ b/agatelane-lab/src/main/java/io/agatelane/lab/experiment/StragglerExperiment.java
@@ -52,7 +52,7 @@
     }
 
     private static void addRow(Table table, Strategy strategy, String straggler, Outcome outcome, double ratio) {
-        var stats = outcome.report().of("dossier-check");
+        var stats = outcome.report().statsOf("dossier-check");
         table.row(
                 strategy.title(),
                 straggler,
@@ -64,6 +64,6 @@
     }
 
     private static double p99(Outcome outcome) {
-        return outcome.report().of("dossier-check").firstTokenMillis(99);
+        return outcome.report().statsOf("dossier-check").firstTokenMillis(99);
     }
 }
--- a/agatelane-lab/src/main/java/io/agatelane/lab/experiment/TailExperiment.java
+++ b/agatelane-lab/src/main/java/io/agatelane/lab/experiment/TailExperiment.java
@@ -20,7 +20,7 @@
                 "placement", "requests/s", "ok", "refused", "failed", "first p50 ms", "p95 ms", "p99 ms", "hit rate");
         for (Strategy strategy : Strategy.values()) {
             Outcome outcome = Runs.measure(strategy, settings);
-            var stats = outcome.report().of("dossier-check");
+            var stats = outcome.report().statsOf("dossier-check");
             table.row(
                     strategy.title(),
                     LOAD * capacity,
--- a/agatelane-lab/src/main/java/io/agatelane/lab/load/Arrival.java
+++ b/agatelane-lab/src/main/java/io/agatelane/lab/load/Arrival.java
@@ -8,11 +8,12 @@
 import java.util.List;
 
 /**
- * One request of a plan.
+ * One request of an arrival plan.
  *
- * @param intendedMillis send time after the start
+ * @param intendedMillis planned send time, from the start of the run
  * @param account index of the client account
- * @param texts messages of a chat request, the most general first
+ * @param texts messages of a chat request, the most widely shared first
+ * @param key request id, and idempotency key of a booking
  */
 public record Arrival(
         int index, double intendedMillis, WorkloadClass workloadClass, int account, List<String> texts, String key) {
@@ -20,7 +21,7 @@
         texts = List.copyOf(texts);
     }
 
-    /** Body of the request. */
+    /** Returns the JSON body of the request. */
     public ObjectNode body() {
         ObjectNode body = JsonNodeFactory.instance.objectNode();
         if (workloadClass.isBooking()) {
@@ -35,7 +36,7 @@
         return body;
     }
 
-    /** The whole output that an engine stand-in generates for this request. */
+    /** Returns the whole output that the stand-in for an engine generates for this request. */
     public String expectedText(String weightsVersion) {
         StringBuilder prompt = new StringBuilder();
         for (int i = 0; i < texts.size(); i++) {
@@ -45,7 +46,7 @@
                 .text(workloadClass.maxTokens());
     }
 
-    /** Adds the messages to a digest chain. */
+    /** Adds the messages to a prompt digester, in the order in which they are sent. */
     public void addMessagesTo(PromptDigester digester) {
         for (int i = 0; i < texts.size(); i++) {
             digester.add(roleOf(i), texts.get(i));
--- a/agatelane-lab/src/main/java/io/agatelane/lab/load/ArrivalPlan.java
+++ b/agatelane-lab/src/main/java/io/agatelane/lab/load/ArrivalPlan.java
@@ -8,12 +8,12 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
 
-/** All requests of a run, fixed by the workload and its seed before the first one is sent. */
+/** Generates all requests of a run from the workload and its seed before the first one is sent. */
 public final class ArrivalPlan {
     private final Workload workload;
     private final int accountCount;
     private final UniformRandomProvider random;
-    private final Map<String, String> texts = new HashMap<>();
+    private final Map<String, String> textsByPath = new HashMap<>();
 
     private ArrivalPlan(Workload workload, int accountCount) {
         this.workload = workload;
@@ -21,12 +21,12 @@
         this.random = RandomSource.XO_RO_SHI_RO_128_PP.create(workload.seed());
     }
 
-    /** Draws the arrivals of a Poisson process whose rate follows the workload's steps. */
+    /** Samples the arrivals of a Poisson process whose rate follows the workload's steps. */
     public static List<Arrival> of(Workload workload, int accountCount) {
-        return new ArrivalPlan(workload, accountCount).draw();
+        return new ArrivalPlan(workload, accountCount).sampleArrivals();
     }
 
-    private List<Arrival> draw() {
+    private List<Arrival> sampleArrivals() {
         List<Arrival> arrivals = new ArrayList<>();
         double millis = 0;
         while (true) {
@@ -34,48 +34,49 @@
             if (millis >= workload.durationMillis()) {
                 return arrivals;
             }
-            arrivals.add(drawOne(arrivals.size(), millis));
+            arrivals.add(sampleArrival(arrivals.size(), millis));
         }
     }
 
-    private Arrival drawOne(int index, double millis) {
-        WorkloadClass chosen = drawClass();
-        int account = zipf(accountCount, workload.accountSkew());
+    private Arrival sampleArrival(int index, double millis) {
+        WorkloadClass workloadClass = sampleClass();
+        int account = sampleZipf(accountCount, workload.accountSkew());
         String key = workload.name() + "-" + workload.seed() + "-" + index;
         List<String> messages = new ArrayList<>();
-        if (!chosen.isBooking()) {
-            StringBuilder path = new StringBuilder(chosen.model());
-            for (PromptLevel level : chosen.levels()) {
-                path.append('/').append(level.name()).append(zipf(level.count(), level.skew()));
-                messages.add(texts.computeIfAbsent(path.toString(), name -> textOf(name, level.tokens())));
+        if (!workloadClass.isBooking()) {
+            StringBuilder path = new StringBuilder(workloadClass.model());
+            for (PromptLevel level : workloadClass.levels()) {
+                path.append('/').append(level.name()).append(sampleZipf(level.count(), level.skew()));
+                messages.add(textsByPath.computeIfAbsent(path.toString(), name -> textOf(name, level.tokens())));
             }
-            messages.add(textOf(key, chosen.questionTokens()));
+            messages.add(textOf(key, workloadClass.questionTokens()));
         }
-        return new Arrival(index, millis, chosen, account, messages, key);
+        return new Arrival(index, millis, workloadClass, account, messages, key);
     }
 
-    private WorkloadClass drawClass() {
-        double total =
+    private WorkloadClass sampleClass() {
+        double totalWeight =
                 workload.classes().stream().mapToDouble(WorkloadClass::share).sum();
-        double point = random.nextDouble() * total;
+        double remainingWeight = random.nextDouble() * totalWeight;
         for (WorkloadClass candidate : workload.classes()) {
-            point -= candidate.share();
-            if (point < 0) {
+            remainingWeight -= candidate.share();
+            if (remainingWeight < 0) {
                 return candidate;
             }
         }
         return workload.classes().get(workload.classes().size() - 1);
     }
 
-    private int zipf(int count, double skew) {
-        double total = 0;
+    /** Samples an index below {@code count}; index i has the weight (i + 1)^-skew. */
+    private int sampleZipf(int count, double skew) {
+        double totalWeight = 0;
         for (int i = 1; i <= count; i++) {
-            total += Math.pow(i, -skew);
+            totalWeight += Math.pow(i, -skew);
         }
-        double point = random.nextDouble() * total;
+        double remainingWeight = random.nextDouble() * totalWeight;
         for (int i = 1; i <= count; i++) {
-            point -= Math.pow(i, -skew);
-            if (point < 0) {
+            remainingWeight -= Math.pow(i, -skew);
+            if (remainingWeight < 0) {
                 return i - 1;
             }
         }
--- a/agatelane-lab/src/main/java/io/agatelane/lab/load/ChatReader.java
+++ b/agatelane-lab/src/main/java/io/agatelane/lab/load/ChatReader.java
@@ -5,10 +5,10 @@
 import io.agatelane.lab.http.Exchange;
 import java.nio.ByteBuffer;
 
-/** Collects the answer to one streamed chat request and checks its order. */
+/** Collects the response to one streamed chat request and checks that its tokens arrive in order. */
 public final class ChatReader {
     private final StringBuilder text = new StringBuilder();
-    private final EventStreamParser parser = new EventStreamParser(this::take);
+    private final EventStreamParser parser = new EventStreamParser(this::handleEvent);
     private final Runnable onFirstToken;
     private int tokens;
     private boolean done;
@@ -17,7 +17,7 @@
     private long promptTokens;
     private long cachedTokens;
 
-    /** Creates a reader that reports the arrival of the first token. */
+    /** Creates a reader that runs an action when the first token arrives. */
     public ChatReader(Runnable onFirstToken) {
         this.onFirstToken = onFirstToken;
     }
@@ -34,12 +34,12 @@
         return tokens;
     }
 
-    /** Whether the stream ended as it should. */
+    /** Whether the stream ended with its end marker. */
     public boolean isDone() {
         return done;
     }
 
-    /** Type of a problem inside the stream; empty when there is none. */
+    /** Returns the type of an error event, or {@code out-of-order}; empty when neither occurred. */
     public String problem() {
         return problem;
     }
@@ -56,7 +56,7 @@
         return cachedTokens;
     }
 
-    private void take(EventStreamParser.Event event) {
+    private void handleEvent(EventStreamParser.Event event) {
         if (event.data().equals("[DONE]")) {
             done = true;
             return;
@@ -84,6 +84,7 @@
         }
     }
 
+    // An event id ends with the offset of its token in the output; no token may be missing or repeated.
     private void checkOffset(String id) {
         if (id.isEmpty()) {
             return;
@@ -99,7 +100,7 @@
         try {
             return Exchange.MAPPER.readTree(data);
         } catch (JsonProcessingException e) {
-            throw new IllegalStateException("an event is not JSON: " + data, e);
+            throw new IllegalStateException("the data of a server-sent event is not JSON: " + data, e);
         }
     }
 }
--- a/agatelane-lab/src/main/java/io/agatelane/lab/load/ClassStats.java
+++ b/agatelane-lab/src/main/java/io/agatelane/lab/load/ClassStats.java
@@ -6,11 +6,12 @@
 
 /** Results of one workload class. */
 public final class ClassStats {
-    private static final long MAX_MICROS = 600_000_000;
+    // The upper end of the histograms; longer times are recorded as this one.
+    private static final long MAX_LATENCY_MICROS = 600_000_000;
 
-    private final Histogram firstToken = new Histogram(MAX_MICROS, 3);
-    private final Histogram total = new Histogram(MAX_MICROS, 3);
-    private final Histogram refusal = new Histogram(MAX_MICROS, 3);
+    private final Histogram firstTokenMicros = new Histogram(MAX_LATENCY_MICROS, 3);
+    private final Histogram totalMicros = new Histogram(MAX_LATENCY_MICROS, 3);
+    private final Histogram refusalMicros = new Histogram(MAX_LATENCY_MICROS, 3);
     private final Map<String, Integer> refusals = new TreeMap<>();
     private final Map<String, Integer> failures = new TreeMap<>();
     private long sent;
@@ -19,48 +20,49 @@
     private long cachedTokens;
     private long outputTokens;
 
-    synchronized void sent() {
+    synchronized void recordSent() {
         sent++;
     }
 
-    synchronized void succeeded(double firstTokenMillis, double totalMillis) {
+    synchronized void recordSuccess(double firstTokenMillis, double totalMillis) {
         succeeded++;
-        firstToken.recordValue(micros(firstTokenMillis));
-        total.recordValue(micros(totalMillis));
+        firstTokenMicros.recordValue(toMicros(firstTokenMillis));
+        totalMicros.recordValue(toMicros(totalMillis));
     }
 
-    synchronized void tokens(long prompt, long cached, long output) {
-        promptTokens += prompt;
-        cachedTokens += cached;
-        outputTokens += output;
+    synchronized void recordTokens(long promptCount, long cachedCount, long outputCount) {
+        promptTokens += promptCount;
+        cachedTokens += cachedCount;
+        outputTokens += outputCount;
     }
 
-    synchronized void refused(String type, double millis) {
+    synchronized void recordRefusal(String type, double millis) {
         refusals.merge(type, 1, Integer::sum);
-        refusal.recordValue(micros(millis));
+        refusalMicros.recordValue(toMicros(millis));
     }
 
-    synchronized void failed(String reason) {
+    synchronized void recordFailure(String reason) {
         failures.merge(reason, 1, Integer::sum);
     }
 
-    /** Quantile of the time to first token in milliseconds. */
+    /** Returns a percentile (0 to 100) of the time to first token of the successful requests, in milliseconds. */
     public synchronized double firstTokenMillis(double percentile) {
-        return firstToken.getValueAtPercentile(percentile) / 1_000.0;
+        return firstTokenMicros.getValueAtPercentile(percentile) / 1_000.0;
     }
 
+    /** Returns a percentile of the time until a successful response ended, in milliseconds. */
     public synchronized double totalMillis(double percentile) {
-        return total.getValueAtPercentile(percentile) / 1_000.0;
+        return totalMicros.getValueAtPercentile(percentile) / 1_000.0;
     }
 
-    /** Quantile of the time until a refusal arrived, in milliseconds. */
+    /** Returns a percentile of the time until a refusal ended, in milliseconds. */
     public synchronized double refusalMillis(double percentile) {
-        return refusal.getValueAtPercentile(percentile) / 1_000.0;
+        return refusalMicros.getValueAtPercentile(percentile) / 1_000.0;
     }
 
-    /** Successful requests whose first token came within a time. */
+    /** Returns the number of successful requests whose first token arrived within the given time. */
     public synchronized long succeededWithin(double firstTokenMillis) {
-        return firstToken.getCountBetweenValues(0, micros(firstTokenMillis));
+        return firstTokenMicros.getCountBetweenValues(0, toMicros(firstTokenMillis));
     }
 
     public synchronized long sentCount() {
@@ -99,7 +101,7 @@
         return Map.copyOf(failures);
     }
 
-    private static long micros(double millis) {
-        return Math.min(MAX_MICROS, Math.max(0, Math.round(millis * 1_000)));
+    private static long toMicros(double millis) {
+        return Math.min(MAX_LATENCY_MICROS, Math.max(0, Math.round(millis * 1_000)));
     }
 }
--- a/agatelane-lab/src/main/java/io/agatelane/lab/load/EventStreamParser.java
+++ b/agatelane-lab/src/main/java/io/agatelane/lab/load/EventStreamParser.java
@@ -5,7 +5,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.function.Consumer;
 
-/** Splits a byte stream into server-sent events. */
+/** Parses a byte stream into server-sent events. */
 public final class EventStreamParser {
     private final Consumer<Event> listener;
     private final ByteArrayOutputStream line = new ByteArrayOutputStream();
@@ -17,12 +17,12 @@
         this.listener = listener;
     }
 
-    /** Takes the next bytes. */
+    /** Parses the next bytes, which may end anywhere inside an event. */
     public void feed(ByteBuffer bytes) {
         while (bytes.hasRemaining()) {
             byte next = bytes.get();
             if (next == '\n') {
-                takeLine(line.toString(StandardCharsets.UTF_8));
+                parseLine(line.toString(StandardCharsets.UTF_8));
                 line.reset();
             } else if (next != '\r') {
                 line.write(next);
@@ -30,7 +30,7 @@
         }
     }
 
-    private void takeLine(String text) {
+    private void parseLine(String text) {
         if (text.isEmpty()) {
             if (data.length() > 0) {
                 listener.accept(new Event(id, type, data.toString()));
@@ -51,6 +51,6 @@
         return text.substring(text.length() > start && text.charAt(start) == ' ' ? start + 1 : start);
     }
 
-    /** One event; the identity is empty when the event has none. */
+    /** One event; the id is empty when the event has none. */
     public record Event(String id, String type, String data) {}
 }
--- a/agatelane-lab/src/main/java/io/agatelane/lab/load/JsonFiles.java
+++ b/agatelane-lab/src/main/java/io/agatelane/lab/load/JsonFiles.java
@@ -8,7 +8,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 
-/** Reads JSON files with comments. */
+/** Reads JSON files, in which comments and trailing commas are allowed. */
 public final class JsonFiles {
     private static final JsonMapper MAPPER = JsonMapper.builder()
             .enable(JsonReadFeature.ALLOW_JAVA_COMMENTS)
@@ -20,7 +20,7 @@
     /**
      * Reads a file.
      *
-     * @throws BadRequestException when it cannot be read or is not JSON
+     * @throws BadRequestException when the file cannot be read or is not JSON
      */
     public static JsonNode read(Path file) {
         try {
--- a/agatelane-lab/src/main/java/io/agatelane/lab/load/LoadRunner.java
+++ b/agatelane-lab/src/main/java/io/agatelane/lab/load/LoadRunner.java
@@ -20,40 +20,40 @@
 /**
  * Sends the arrivals of a plan at their intended times, whether or not earlier ones have ended.
  *
- * <p>Times count from the intended send time, so that a stall of the system or of this tool is not hidden.
+ * <p>Latencies count from the intended send time, so that a stall of the system or of this tool is not hidden.
  */
 public final class LoadRunner {
-    private static final long ANSWER_TIMEOUT_MILLIS = 60_000;
+    private static final long RESPONSE_TIMEOUT_MILLIS = 60_000;
 
     private final LabClient client;
     private final String weightsVersion;
     private final LoadTarget target;
-    private final LoadReport report;
+    private final WorkloadReport report;
     private long startNanos;
 
     /**
      * Creates a runner.
      *
-     * @param weightsVersion weights whose output the answers are compared with; empty skips the comparison
+     * @param weightsVersion weights version whose output the responses are compared with; empty skips the comparison
      */
     public LoadRunner(LabClient client, Workload workload, String weightsVersion, LoadTarget target) {
         this.client = client;
         this.weightsVersion = weightsVersion;
         this.target = target;
-        this.report = new LoadReport(workload);
+        this.report = new WorkloadReport(workload);
     }
 
-    /** Runs the plan and waits for all answers. */
-    public LoadReport run(List<Arrival> plan) throws InterruptedException {
-        CountDownLatch open = new CountDownLatch(plan.size());
+    /** Runs the plan and waits for all responses. */
+    public WorkloadReport run(List<Arrival> plan) throws InterruptedException {
+        CountDownLatch unfinished = new CountDownLatch(plan.size());
         startNanos = System.nanoTime();
         for (Arrival arrival : plan) {
             ObjectNode body = arrival.body();
             waitUntil(startNanos + (long) (arrival.intendedMillis() * 1e6));
-            send(arrival, body, open);
+            send(arrival, body, unfinished);
         }
-        if (!open.await(ANSWER_TIMEOUT_MILLIS + 5_000, TimeUnit.MILLISECONDS)) {
-            throw new IllegalStateException(open.getCount() + " answers did not end in time");
+        if (!unfinished.await(RESPONSE_TIMEOUT_MILLIS + 5_000, TimeUnit.MILLISECONDS)) {
+            throw new IllegalStateException(unfinished.getCount() + " responses did not end in time");
         }
         return report;
     }
@@ -66,47 +66,47 @@
         }
     }
 
-    private void send(Arrival arrival, ObjectNode body, CountDownLatch open) {
-        ClassStats stats = report.of(arrival.workloadClass().name());
-        stats.sent();
-        LoadTarget.Call call = target.call(arrival, body);
+    private void send(Arrival arrival, ObjectNode body, CountDownLatch unfinished) {
+        ClassStats stats = report.statsOf(arrival.workloadClass().name());
+        stats.recordSent();
+        LoadTarget.Call call = target.prepareCall(arrival, body);
         Request request = client.http()
                 .POST(call.url())
-                .timeout(ANSWER_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)
+                .timeout(RESPONSE_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)
                 .body(new StringRequestContent("application/json", body.toString()));
         request.headers(fields -> call.headers().forEach(fields::put));
-        request.send(new AnswerListener(arrival, stats, open));
+        request.send(new ResponseListener(arrival, stats, unfinished));
     }
 
-    private double millisSince(Arrival arrival) {
+    private double millisSinceIntended(Arrival arrival) {
         return (System.nanoTime() - startNanos) / 1e6 - arrival.intendedMillis();
     }
 
-    /** Reads one answer. */
-    private final class AnswerListener implements Response.Listener {
+    /** Reads one response and records its result. */
+    private final class ResponseListener implements Response.Listener {
         private final Arrival arrival;
         private final ClassStats stats;
-        private final CountDownLatch open;
+        private final CountDownLatch unfinished;
         private final ByteArrayOutputStream content = new ByteArrayOutputStream();
-        private final ChatReader reader = new ChatReader(this::firstToken);
+        private final ChatReader reader = new ChatReader(this::recordFirstToken);
         private double firstTokenMillis = -1;
-        private boolean streamed;
+        private boolean isEventStream;
 
-        private AnswerListener(Arrival arrival, ClassStats stats, CountDownLatch open) {
+        private ResponseListener(Arrival arrival, ClassStats stats, CountDownLatch unfinished) {
             this.arrival = arrival;
             this.stats = stats;
-            this.open = open;
+            this.unfinished = unfinished;
         }
 
         @Override
         public void onHeaders(Response response) {
             String type = response.getHeaders().get("Content-Type");
-            streamed = response.getStatus() == 200 && type != null && type.startsWith("text/event-stream");
+            isEventStream = response.getStatus() == 200 && type != null && type.startsWith("text/event-stream");
         }
 
         @Override
         public void onContent(Response response, ByteBuffer bytes) {
-            if (streamed) {
+            if (isEventStream) {
                 reader.feed(bytes);
             } else {
                 byte[] copy = new byte[bytes.remaining()];
@@ -118,25 +118,25 @@
         @Override
         public void onComplete(Result result) {
             try {
-                record(result);
+                recordResult(result);
             } catch (RuntimeException e) {
-                stats.failed("unreadable answer");
+                stats.recordFailure("unreadable answer");
             } finally {
-                target.finished(arrival);
-                report.answered(arrival.intendedMillis() + millisSince(arrival));
-                open.countDown();
+                target.onRequestEnd(arrival);
+                report.recordResponseEnd(arrival.intendedMillis() + millisSinceIntended(arrival));
+                unfinished.countDown();
             }
         }
 
-        private void firstToken() {
-            firstTokenMillis = millisSince(arrival);
+        private void recordFirstToken() {
+            firstTokenMillis = millisSinceIntended(arrival);
         }
 
-        private void record(Result result) {
+        private void recordResult(Result result) {
             if (result.isFailed()) {
-                stats.failed(result.getFailure().getClass().getSimpleName());
+                stats.recordFailure(result.getFailure().getClass().getSimpleName());
             } else if (result.getResponse().getStatus() != 200) {
-                stats.refused(problemOf(result.getResponse().getStatus()), millisSince(arrival));
+                stats.recordRefusal(refusalReason(result.getResponse().getStatus()), millisSinceIntended(arrival));
             } else if (arrival.workloadClass().isBooking()) {
                 recordBooking();
             } else {
@@ -145,41 +145,41 @@
         }
 
         private void recordBooking() {
-            if (arrival.key().equals(json().path("key").asText())) {
-                double millis = millisSince(arrival);
-                stats.succeeded(millis, millis);
-                report.succeeded(arrival.account());
+            if (arrival.key().equals(parseContent().path("key").asText())) {
+                double millis = millisSinceIntended(arrival);
+                stats.recordSuccess(millis, millis);
+                report.recordSuccess(arrival.account());
             } else {
-                stats.failed("answer to another booking");
+                stats.recordFailure("answer to another booking");
             }
         }
 
         private void recordChat() {
-            stats.tokens(reader.promptTokens(), reader.cachedTokens(), reader.tokens());
+            stats.recordTokens(reader.promptTokens(), reader.cachedTokens(), reader.tokens());
             if (!reader.problem().isEmpty()) {
-                stats.failed(reader.problem());
+                stats.recordFailure(reader.problem());
             } else if (!reader.isDone()) {
-                stats.failed("stream without end");
+                stats.recordFailure("stream without end");
             } else if (!weightsVersion.isEmpty() && !reader.text().equals(arrival.expectedText(weightsVersion))) {
-                stats.failed("text differs");
+                stats.recordFailure("text differs");
             } else {
-                stats.succeeded(firstTokenMillis, millisSince(arrival));
-                report.succeeded(arrival.account());
+                stats.recordSuccess(firstTokenMillis, millisSinceIntended(arrival));
+                report.recordSuccess(arrival.account());
             }
         }
 
-        private String problemOf(int status) {
-            JsonNode node = json();
+        private String refusalReason(int status) {
+            JsonNode node = parseContent();
             String type =
                     node.path("type").asText(node.path("error").path("type").asText(""));
             return status + " " + type.substring(type.lastIndexOf(':') + 1);
         }
 
-        private JsonNode json() {
+        private JsonNode parseContent() {
             try {
                 return Exchange.MAPPER.readTree(content.toString(StandardCharsets.UTF_8));
             } catch (IOException e) {
-                throw new IllegalStateException("the answer is not JSON", e);
+                throw new IllegalStateException("the response is not JSON", e);
             }
         }
     }
--- a/agatelane-lab/src/main/java/io/agatelane/lab/load/LocalSystem.java
+++ b/agatelane-lab/src/main/java/io/agatelane/lab/load/LocalSystem.java
@@ -5,7 +5,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The running system that {@code scripts/local-up} describes in its JSON file. */
+/** Addresses, API keys and models of the running system that {@code scripts/local-up} writes to its JSON file. */
 public record LocalSystem(
         List<String> routerUrls,
         List<String> apiKeys,
@@ -22,21 +22,21 @@
         models = List.copyOf(models);
     }
 
-    /** Reads the file. */
+    /** Reads the file that {@code scripts/local-up} wrote. */
     public static LocalSystem read(Path file) {
         JsonNode node = JsonFiles.read(file);
         List<String> models = new ArrayList<>();
         node.path("models").forEach(model -> models.add(model.asText()));
         return new LocalSystem(
-                field(node.path("routers"), "http"),
-                field(node.path("clientAccounts"), "apiKey"),
-                field(node.path("engines"), "http"),
-                field(node.path("services"), "bookingPath"),
-                field(node.path("services"), "executionsUrl"),
+                fieldValues(node.path("routers"), "http"),
+                fieldValues(node.path("clientAccounts"), "apiKey"),
+                fieldValues(node.path("engines"), "http"),
+                fieldValues(node.path("services"), "bookingPath"),
+                fieldValues(node.path("services"), "executionsUrl"),
                 models);
     }
 
-    private static List<String> field(JsonNode array, String name) {
+    private static List<String> fieldValues(JsonNode array, String name) {
         List<String> values = new ArrayList<>();
         array.forEach(element -> values.add(element.path(name).asText()));
         return values;
--- a/agatelane-lab/src/main/java/io/agatelane/lab/load/RouterTarget.java
+++ b/agatelane-lab/src/main/java/io/agatelane/lab/load/RouterTarget.java
@@ -18,7 +18,7 @@
     }
 
     @Override
-    public Call call(Arrival arrival, ObjectNode body) {
+    public Call prepareCall(Arrival arrival, ObjectNode body) {
         String url = routerUrls.get(arrival.index() % routerUrls.size());
         String authorization = "Bearer " + apiKeys.get(arrival.account() % apiKeys.size());
         if (arrival.workloadClass().isBooking()) {
--- a/agatelane-lab/src/main/java/io/agatelane/lab/load/Workload.java
+++ b/agatelane-lab/src/main/java/io/agatelane/lab/load/Workload.java
@@ -6,7 +6,7 @@
 import java.util.List;
 
 /**
- * A workload: arrivals and the mix of requests.
+ * A workload: the arrival rate over time and the mix of requests.
  *
  * @param accountSkew exponent of the Zipf distribution over the client accounts
  */
@@ -48,12 +48,19 @@
         return new Workload(name, seed, durationMillis, newRequestsPerSecond, accountSkew, rateSteps, classes);
     }
 
-    /** Returns a copy with other classes, in which each kept class arrives as often as before. */
+    /** Returns a copy with only the given classes, each of which arrives as often as before. */
     public Workload withClasses(List<WorkloadClass> newClasses) {
-        double kept = newClasses.stream().mapToDouble(WorkloadClass::share).sum();
-        double all = classes.stream().mapToDouble(WorkloadClass::share).sum();
+        double retainedShare =
+                newClasses.stream().mapToDouble(WorkloadClass::share).sum();
+        double totalShare = classes.stream().mapToDouble(WorkloadClass::share).sum();
         return new Workload(
-                name, seed, durationMillis, requestsPerSecond * kept / all, accountSkew, rateSteps, newClasses);
+                name,
+                seed,
+                durationMillis,
+                requestsPerSecond * retainedShare / totalShare,
+                accountSkew,
+                rateSteps,
+                newClasses);
     }
 
     /** Returns a copy with other rate steps. */
--- a/agatelane-lab/src/main/java/io/agatelane/lab/load/WorkloadClass.java
+++ b/agatelane-lab/src/main/java/io/agatelane/lab/load/WorkloadClass.java
@@ -3,11 +3,11 @@
 import java.util.List;
 
 /**
- * One kind of request.
+ * One kind of request in a workload.
  *
  * @param kind {@code chat} or {@code booking}
  * @param share part of the arrivals relative to the other classes
- * @param levels nested shared prefixes, the most general first
+ * @param levels nested shared prefixes, the most widely shared first
  * @param questionTokens length of the last message, which differs in each request
  */
 public record WorkloadClass(
--- a/agatelane-lab/src/main/java/io/agatelane/lab/load/LoadReport.java
+++ b/agatelane-lab/src/main/java/io/agatelane/lab/load/WorkloadReport.java
@@ -6,17 +6,17 @@
 import java.util.TreeMap;
 
 /** Results of a run by workload class. */
-public final class LoadReport {
+public final class WorkloadReport {
     private final Map<String, ClassStats> classes = new LinkedHashMap<>();
     private final Map<Integer, Integer> succeededByAccount = new TreeMap<>();
 
-    private double lastAnswerMillis;
+    private double lastResponseEndMillis;
 
-    LoadReport(Workload workload) {
+    WorkloadReport(Workload workload) {
         workload.classes().forEach(workloadClass -> classes.put(workloadClass.name(), new ClassStats()));
     }
 
-    synchronized void succeeded(int account) {
+    synchronized void recordSuccess(int account) {
         succeededByAccount.merge(account, 1, Integer::sum);
     }
 
@@ -25,17 +25,17 @@
         return Map.copyOf(succeededByAccount);
     }
 
-    synchronized void answered(double millis) {
-        lastAnswerMillis = Math.max(lastAnswerMillis, millis);
+    synchronized void recordResponseEnd(double millis) {
+        lastResponseEndMillis = Math.max(lastResponseEndMillis, millis);
     }
 
-    /** Time from the start of the run to the end of the last answer. */
-    public synchronized double lastAnswerMillis() {
-        return lastAnswerMillis;
+    /** Time from the start of the run to the end of the last response. */
+    public synchronized double lastResponseEndMillis() {
+        return lastResponseEndMillis;
     }
 
-    /** Results of one class. */
-    public ClassStats of(String className) {
+    /** Returns the results of one class; null when the workload has no such class. */
+    public ClassStats statsOf(String className) {
         return classes.get(className);
     }
 
@@ -56,7 +56,7 @@
         return classes.values().stream().mapToLong(ClassStats::failedCount).sum();
     }
 
-    /** The report as a table. */
+    /** Formats the report as a table, with the reasons of refusals and failures by class below it. */
     public String toTable() {
         StringBuilder table = new StringBuilder();
         table.append(String.format(
--- a/agatelane-lab/src/main/java/io/agatelane/lab/load/package-info.java
+++ b/agatelane-lab/src/main/java/io/agatelane/lab/load/package-info.java
@@ -1,2 +1,2 @@
-/** Open-loop load with seeded arrivals and latency histograms. */
+/** Load generator: open-loop arrivals from a seeded plan, response checks and latency histograms. */
 package io.agatelane.lab.load;
--- a/agatelane-lab/src/test/java/io/agatelane/lab/load/LoadPlanTest.java
+++ b/agatelane-lab/src/test/java/io/agatelane/lab/load/LoadPlanTest.java
@@ -26,21 +26,21 @@
         assertNotEquals(ArrivalPlan.of(workload.withSeed(workload.seed() + 1), 3), plan);
     }
 
-    /** Guards against rate steps that do not change the arrivals. */
+    /** Guards against rate steps that do not change the arrival rate. */
     @Test
     public void rateStepMultipliesTheArrivals() {
-        WorkloadClass letters = new WorkloadClass("letter", "chat", "m", 1, List.of(), 1, 1);
+        WorkloadClass chats = new WorkloadClass("letter", "chat", "m", 1, List.of(), 1, 1);
         RateStep step = new RateStep(10_000, 20_000, 3);
-        Workload workload = new Workload("w", 7, 20_000, 100, 0, List.of(step), List.of(letters));
+        Workload workload = new Workload("w", 7, 20_000, 100, 0, List.of(step), List.of(chats));
         List<Arrival> plan = ArrivalPlan.of(workload, 1);
-        long late = plan.stream()
+        long duringStep = plan.stream()
                 .filter(arrival -> arrival.intendedMillis() >= 10_000)
                 .count();
-        long early = plan.size() - late;
-        assertTrue(late > 2.5 * early && late < 3.5 * early, early + " and " + late);
+        long beforeStep = plan.size() - duringStep;
+        assertTrue(duringStep > 2.5 * beforeStep && duringStep < 3.5 * beforeStep, beforeStep + " and " + duringStep);
     }
 
-    /** Guards against a reader that accepts repeated, missing or cut tokens. */
+    /** Guards against a reader that accepts repeated, missing or truncated tokens. */
     @Test
     public void readerReportsTokensOutOfOrder() {
         assertEquals(read("0", "1", "2").problem(), "");
@@ -49,9 +49,9 @@
         assertEquals(read("0", "1").isDone(), true);
     }
 
-    /** Guards against a parser that needs whole events in each piece. */
+    /** Guards against a parser that fails when an event is split over several reads. */
     @Test
-    public void readerTakesTheStreamInAnyPieces() {
+    public void readerAcceptsAStreamSplitAnywhere() {
         ChatReader reader = new ChatReader(() -> {});
         for (byte next : stream("0", "1", "2").getBytes(StandardCharsets.UTF_8)) {
             reader.feed(ByteBuffer.wrap(new byte[] {next}));
