--- a/agatelane-lab/src/main/java/io/agatelane/lab/experiment/BlockingExperiment.java
+++ b/agatelane-lab/src/main/java/io/agatelane/lab/experiment/BlockingExperiment.java
@@ -4,11 +4,14 @@
 import io.agatelane.lab.engine.EngineSettings;
 import io.agatelane.lab.load.Workload;
 
-/** Time to first token of van questions with and without full-log reads beside them. */
+/**
+ * Measures how long prompts delay short ones: the time to first token of the class {@code van-question} with and
+ * without concurrent requests of the class {@code full-log}.
+ */
 final class BlockingExperiment implements Experiment.Body {
     private static final int ENGINES = 4;
     private static final double REQUESTS_PER_SECOND = 40;
-    // A full-log read takes about 1.1 s on an idle engine, a van question about 60 ms.
+    // Separates the classes: full-log takes about 1.1 s on an idle engine, van-question about 60 ms.
     private static final int LONG_REQUEST_MILLIS = 500;
 
     @Override
@@ -21,21 +24,28 @@
         Table table = new Table(
                 "placement", "full-log reads", "van ok", "not ok", "first p50 ms", "p95 ms", "p99 ms", "p99 ratio");
         for (Strategy strategy : Strategy.values()) {
-            Outcome alone = Runs.measure(strategy, settings.withWorkload(shortOnly));
-            Outcome both = Runs.measure(strategy, settings);
-            double alonePercentile = alone.report().statsOf("van-question").firstTokenMillis(99);
-            addRow(table, strategy, alone, 0, 1.0);
-            double ratio = both.report().statsOf("van-question").firstTokenMillis(99) / alonePercentile;
-            addRow(table, strategy, both, both.report().statsOf("full-log").sentCount(), ratio);
+            ExperimentOutcome withoutLong = ExperimentRunner.measure(strategy, settings.withWorkload(shortOnly));
+            ExperimentOutcome withLong = ExperimentRunner.measure(strategy, settings);
+            double withoutLongP99Millis =
+                    withoutLong.report().statsOf("van-question").firstTokenMillis(99);
+            addRow(table, strategy, withoutLong, 0, 1.0);
+            double ratio = withLong.report().statsOf("van-question").firstTokenMillis(99) / withoutLongP99Millis;
+            addRow(
+                    table,
+                    strategy,
+                    withLong,
+                    withLong.report().statsOf("full-log").sentCount(),
+                    ratio);
         }
         return table.toString();
     }
 
-    private static void addRow(Table table, Strategy strategy, Outcome outcome, long fullLogs, double ratio) {
+    private static void addRow(
+            Table table, Strategy strategy, ExperimentOutcome outcome, long fullLogCount, double ratio) {
         var stats = outcome.report().statsOf("van-question");
         table.row(
                 strategy.title(),
-                fullLogs,
+                fullLogCount,
                 stats.succeededCount(),
                 outcome.refused() + outcome.report().failedCount(),
                 stats.firstTokenMillis(50),
--- a/agatelane-lab/src/main/java/io/agatelane/lab/experiment/EngineTarget.java
+++ b/agatelane-lab/src/main/java/io/agatelane/lab/experiment/EngineTarget.java
@@ -5,7 +5,7 @@
 import io.agatelane.lab.load.LoadTarget;
 import java.util.Map;
 
-/** Sends requests straight to engines, which saves the hop of a router and so favours the baselines. */
+/** Sends requests directly to engines, which saves the hop through a router and so favours the baselines. */
 abstract class EngineTarget implements LoadTarget, AutoCloseable {
     private final Fleet fleet;
 
@@ -18,7 +18,7 @@
         String salt = saltOf(arrival);
         body.put("cache_salt", salt);
         body.put("priority", priorityOf(arrival));
-        String url = fleet.engines().get(choose(arrival, salt)).url();
+        String url = fleet.engines().get(chooseEngine(arrival, salt)).url();
         return new Call(url + "/v1/chat/completions", Map.of("X-Request-Id", arrival.key()));
     }
 
@@ -26,9 +26,11 @@
     public void close() {}
 
     /** Returns the index of the engine for a request. */
-    abstract int choose(Arrival arrival, String salt);
+    abstract int chooseEngine(Arrival arrival, String salt);
 
-    /** Returns the engine priority of a request; lower runs sooner. Naive baselines set none. */
+    /**
+     * Returns the engine priority of a request; lower values run earlier. Naive baselines give all requests the same.
+     */
     int priorityOf(Arrival arrival) {
         return 0;
     }
--- a/agatelane-lab/src/main/java/io/agatelane/lab/experiment/Experiment.java
+++ b/agatelane-lab/src/main/java/io/agatelane/lab/experiment/Experiment.java
@@ -47,11 +47,11 @@
                 + body.get().run(new Inputs(workloads, seed, durationMillis));
     }
 
-    /** What an experiment does. */
+    /** The measurements of an experiment. */
     interface Body {
         String run(Inputs inputs) throws InterruptedException;
     }
 
-    /** Options of a run. */
+    /** Options of an experiment. */
     record Inputs(Path workloads, long seed, long durationMillis) {}
 }
--- a/agatelane-lab/src/main/java/io/agatelane/lab/experiment/Runs.java
+++ b/agatelane-lab/src/main/java/io/agatelane/lab/experiment/ExperimentRunner.java
@@ -11,25 +11,25 @@
 import java.util.List;
 import java.util.Set;
 
-/** Runs plans against fresh engines. */
-final class Runs {
+/** Runs arrival plans against newly started engines. */
+final class ExperimentRunner {
     private static final int TOKENS_PER_BLOCK = PromptDigester.BLOCK_BYTES / PromptDigester.BYTES_PER_TOKEN;
-    // Long enough for the compiler to translate the hot paths before the measured run.
+    // Long enough for the JIT compiler to compile the hot paths before the measured run.
     private static final long WARM_UP_MILLIS = 2_000;
     private static final long WARM_UP_SEED = 99;
 
-    private Runs() {}
+    private ExperimentRunner() {}
 
     /** Runs the plan of the settings once after a warm-up with another seed and other engines. */
-    static Outcome measure(Strategy strategy, RunSettings settings) throws InterruptedException {
+    static ExperimentOutcome measure(Strategy strategy, RunSettings settings) throws InterruptedException {
         RunSettings warmUp = settings.withWorkload(
                         settings.workload().withDuration(WARM_UP_MILLIS).withSeed(WARM_UP_SEED))
                 .withDisturbance(fleet -> {});
-        once(strategy, warmUp);
-        return once(strategy, settings);
+        runOnce(strategy, warmUp);
+        return runOnce(strategy, settings);
     }
 
-    private static Outcome once(Strategy strategy, RunSettings settings) throws InterruptedException {
+    private static ExperimentOutcome runOnce(Strategy strategy, RunSettings settings) throws InterruptedException {
         List<Arrival> plan = ArrivalPlan.of(settings.workload(), settings.accounts());
         try (Fleet fleet = Fleet.start(settings.engine(), settings.engines());
                 Strategy.Placement placement = strategy.start(fleet, settings);
@@ -39,12 +39,15 @@
             settings.disturbance().accept(fleet);
             WorkloadReport report = runner.run(plan);
             long computedTokens = fleet.total("promptTokens") - fleet.total("cachedTokens");
-            long recomputed = fleet.total("computedBlockTokens") - uniqueBlockTokens(plan);
-            return new Outcome(report, fleet.hitRate(), computedTokens, recomputed, fleet.total("requests"));
+            long recomputedTokens = fleet.total("computedBlockTokens") - uniqueBlockTokens(plan);
+            return new ExperimentOutcome(
+                    report, fleet.hitRate(), computedTokens, recomputedTokens, fleet.total("requests"));
         }
     }
 
-    /** Tokens in different blocks of a plan; each has to be computed at least once. */
+    /**
+     * Returns the number of tokens in the distinct blocks of a plan, each of which has to be computed at least once.
+     */
     static long uniqueBlockTokens(List<Arrival> plan) {
         Set<Long> unique = new HashSet<>();
         for (Arrival arrival : plan) {
@@ -57,10 +60,10 @@
     }
 
     /**
-     * Requests per second that the engines serve when the oracle places more than they can take. An estimate from the
-     * number of different blocks is too high, because no placement avoids all recomputation.
+     * Measures how many requests per second the engines serve when the oracle sends them more than they can process.
+     * An estimate from the number of distinct blocks is too high, because no placement avoids all recomputation.
      */
-    static double capacity(RunSettings overload) throws InterruptedException {
+    static double measureCapacity(RunSettings overload) throws InterruptedException {
         WorkloadReport report = measure(Strategy.ORACLE, overload).report();
         long succeeded = report.classes().values().stream()
                 .mapToLong(stats -> stats.succeededCount())
--- a/agatelane-lab/src/main/java/io/agatelane/lab/experiment/Fleet.java
+++ b/agatelane-lab/src/main/java/io/agatelane/lab/experiment/Fleet.java
@@ -10,7 +10,7 @@
 
 /** Engines inside this process, listening on loopback. */
 final class Fleet implements AutoCloseable {
-    private static final int KEPT_BLOCKS = 100_000;
+    private static final int STORED_BLOCKS = 100_000;
 
     private final EngineSettings settings;
     private final List<EngineServer> engines = new ArrayList<>();
@@ -19,12 +19,12 @@
         this.settings = settings;
     }
 
-    /** Starts equal engines. */
+    /** Starts engines with equal settings and one shared block store. */
     static Fleet start(EngineSettings settings, int count) {
         Fleet fleet = new Fleet(settings);
-        KeptStore store = new LocalKeptStore(KEPT_BLOCKS);
+        KeptStore blockStore = new LocalKeptStore(STORED_BLOCKS);
         for (int i = 0; i < count; i++) {
-            fleet.engines.add(new EngineServer(LabServer.parseAddress("127.0.0.1:0"), settings, store).start());
+            fleet.engines.add(new EngineServer(LabServer.parseAddress("127.0.0.1:0"), settings, blockStore).start());
         }
         return fleet;
     }
@@ -37,14 +37,14 @@
         return engines;
     }
 
-    /** Sum of a counter over all engines. */
+    /** Returns the sum of a counter over all engines. */
     long total(String counter) {
         return engines.stream()
                 .mapToLong(engine -> engine.counters().path(counter).asLong())
                 .sum();
     }
 
-    /** Part of the prompt tokens that the engines had in their caches. */
+    /** Returns the fraction of the prompt tokens that the engines found in their caches. */
     double hitRate() {
         long promptTokens = total("promptTokens");
         return promptTokens == 0 ? 0 : (double) total("cachedTokens") / promptTokens;
--- a/agatelane-lab/src/main/java/io/agatelane/lab/experiment/OracleTarget.java
+++ b/agatelane-lab/src/main/java/io/agatelane/lab/experiment/OracleTarget.java
@@ -6,7 +6,10 @@
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 
-/** Oracle: sees the true cache and queue of every engine, and takes the one with the earliest first token. */
+/**
+ * Baseline with complete information: reads the actual cache and queue of every engine and chooses the one with the
+ * earliest estimated first token.
+ */
 final class OracleTarget extends EngineTarget {
     private final int longRequestMillis;
 
@@ -15,7 +18,8 @@
         this.longRequestMillis = longRequestMillis;
     }
 
-    // Without priorities the oracle would lose to the router on short work behind long work.
+    // Long requests get a lower priority. Otherwise short requests would wait behind long ones, and the oracle would
+    // lose to the router.
     @Override
     int priorityOf(Arrival arrival) {
         PromptDigester digester = new PromptDigester("");
@@ -28,7 +32,7 @@
     }
 
     @Override
-    int choose(Arrival arrival, String salt) {
+    int chooseEngine(Arrival arrival, String salt) {
         PromptDigester digester = new PromptDigester(salt);
         arrival.addMessagesTo(digester);
         PromptDigests digests = digester.build();
--- a/agatelane-lab/src/main/java/io/agatelane/lab/experiment/OverheadExperiment.java
+++ b/agatelane-lab/src/main/java/io/agatelane/lab/experiment/OverheadExperiment.java
@@ -12,7 +12,10 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.eclipse.jetty.http.HttpMethod;
 
-/** What the router adds to a direct connection: time to first token at a moderate rate, and the highest rate. */
+/**
+ * Measures what a router adds to a direct connection: in the time to first token at a moderate rate, and in the highest
+ * rate.
+ */
 final class OverheadExperiment implements Experiment.Body {
     private static final int ENGINES = 4;
     private static final double REQUESTS_PER_SECOND = 200;
@@ -25,16 +28,16 @@
         WorkloadClass single = new WorkloadClass("single", "chat", "dossier-check", 1, List.of(), PROMPT_TOKENS, 1);
         Workload workload = new Workload(
                 "overhead", inputs.seed(), inputs.durationMillis(), REQUESTS_PER_SECOND, 0, List.of(), List.of(single));
-        // Engines without noticeable service time leave only the cost of the path.
+        // Engines without noticeable service time leave only the cost of the path from client to engine.
         EngineSettings engine =
                 EngineSettings.of("dossier-check", "v1").withRates(1e8, 0.1).withSlots(256);
         RunSettings settings = RunSettings.of(workload, engine, ENGINES);
         Table table = new Table("path", "ok", "not ok", "first p50 ms", "p99 ms", "closed loop requests/s");
         for (Strategy strategy : List.of(Strategy.ROUND_ROBIN, Strategy.ROUTER)) {
-            // The first closed loop only lets the compiler translate the path.
-            closedLoop(strategy, settings);
-            double highestRate = closedLoop(strategy, settings);
-            Outcome outcome = Runs.measure(strategy, settings);
+            // The first closed loop only warms up the JIT compiler.
+            measureClosedLoop(strategy, settings);
+            double highestRate = measureClosedLoop(strategy, settings);
+            ExperimentOutcome outcome = ExperimentRunner.measure(strategy, settings);
             var stats = outcome.report().statsOf("single");
             table.row(
                     strategy == Strategy.ROUTER ? "through a router" : "direct",
@@ -47,7 +50,7 @@
         return table.toString();
     }
 
-    private static double closedLoop(Strategy strategy, RunSettings settings) throws InterruptedException {
+    private static double measureClosedLoop(Strategy strategy, RunSettings settings) throws InterruptedException {
         List<Arrival> plan = ArrivalPlan.of(settings.workload(), settings.accounts());
         try (Fleet fleet = Fleet.start(settings.engine(), settings.engines());
                 Strategy.Placement placement = strategy.start(fleet, settings);
@@ -57,14 +60,14 @@
         }
     }
 
-    /** Sends the next request as soon as an earlier one has ended. */
+    /** Keeps a fixed number of requests in flight: sends the next one as soon as an earlier one has ended. */
     private static final class ClosedLoop {
         private final LabClient client;
         private final Strategy.Placement placement;
         private final List<Arrival> plan;
-        private final AtomicInteger next = new AtomicInteger();
+        private final AtomicInteger nextIndex = new AtomicInteger();
         private final AtomicInteger succeeded = new AtomicInteger();
-        private final CountDownLatch ended = new CountDownLatch(CONCURRENCY);
+        private final CountDownLatch openLoops = new CountDownLatch(CONCURRENCY);
         private long endNanos;
 
         private ClosedLoop(LabClient client, Strategy.Placement placement, List<Arrival> plan) {
@@ -79,26 +82,26 @@
             for (int i = 0; i < CONCURRENCY; i++) {
                 sendNext();
             }
-            ended.await();
+            openLoops.await();
             return succeeded.get() * 1e9 / (System.nanoTime() - startNanos);
         }
 
         private void sendNext() {
             if (System.nanoTime() > endNanos) {
-                ended.countDown();
+                openLoops.countDown();
                 return;
             }
-            int index = next.getAndIncrement();
+            int index = nextIndex.getAndIncrement();
             Arrival planned = plan.get(index % plan.size());
-            // Each request has its own identity; the engines replace a request whose identity comes twice.
+            // Each request has its own id, because an engine replaces a request when another with the same id arrives.
             Arrival arrival = new Arrival(
                     index, 0, planned.workloadClass(), planned.account(), planned.texts(), "closed-" + index);
             var body = arrival.body();
             var call = placement.target().prepareCall(arrival, body);
             Map<String, String> headers = call.headers();
             var unused = client.call(HttpMethod.POST, call.url(), body, headers, 10_000)
-                    .handle((answer, failure) -> {
-                        if (failure == null && answer.status() == 200) {
+                    .handle((response, failure) -> {
+                        if (failure == null && response.status() == 200) {
                             succeeded.incrementAndGet();
                         }
                         sendNext();
--- a/agatelane-lab/src/main/java/io/agatelane/lab/experiment/PrefixExperiment.java
+++ b/agatelane-lab/src/main/java/io/agatelane/lab/experiment/PrefixExperiment.java
@@ -3,7 +3,7 @@
 import io.agatelane.lab.engine.EngineSettings;
 import io.agatelane.lab.load.Workload;
 
-/** Hit rate and recomputed tokens of nested prefixes against an oracle that sees every cache. */
+/** Compares hit rate and recomputed tokens of nested prefixes with those of an oracle that reads every cache. */
 final class PrefixExperiment implements Experiment.Body {
     private static final int ENGINES = 8;
     private static final double REQUESTS_PER_SECOND = 60;
@@ -15,7 +15,7 @@
         Workload workload = Workloads.chats(inputs, "aargau.json").withRate(REQUESTS_PER_SECOND);
         EngineSettings engine = EngineSettings.of("dossier-check", "v1").withCacheBlocks(CACHE_BLOCKS);
         RunSettings settings = RunSettings.of(workload, engine, ENGINES);
-        Outcome oracle = Runs.measure(Strategy.ORACLE, settings);
+        ExperimentOutcome oracle = ExperimentRunner.measure(Strategy.ORACLE, settings);
         Table table = new Table(
                 "placement",
                 "ok",
@@ -28,7 +28,8 @@
                 "recomputed",
                 "first p99 ms");
         for (Strategy strategy : Strategy.values()) {
-            Outcome outcome = strategy == Strategy.ORACLE ? oracle : Runs.measure(strategy, settings);
+            ExperimentOutcome outcome =
+                    strategy == Strategy.ORACLE ? oracle : ExperimentRunner.measure(strategy, settings);
             table.row(
                     strategy.title(),
                     outcome.succeeded(),
--- a/agatelane-lab/src/main/java/io/agatelane/lab/experiment/RouterGroup.java
+++ b/agatelane-lab/src/main/java/io/agatelane/lab/experiment/RouterGroup.java
@@ -6,7 +6,7 @@
 import io.agatelane.lab.http.LabServer;
 import io.agatelane.lab.load.LoadTarget;
 import io.agatelane.lab.load.RouterTarget;
-import io.agatelane.lab.operator.OperatorClient;
+import io.agatelane.lab.operator.LabOperatorClient;
 import io.agatelane.lab.platform.PlatformServer;
 import io.agatelane.node.cfg.Settings;
 import io.agatelane.node.impl.RouterNode;
@@ -23,13 +23,13 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Routers and the platform's stand-in inside this process, in front of a fleet. */
+/** Routers in front of a fleet, with a stand-in for the platform, all inside this process. */
 final class RouterGroup implements AutoCloseable {
     private static final String POLICY = "lab";
     private static final String ZONE = "ch-nord-a";
     private static final long APPLY_TIMEOUT_MILLIS = 30_000;
     private static final long READY_TIMEOUT_MILLIS = 10_000;
-    private static final long READY_CHECK_MILLIS = 20;
+    private static final long READY_POLL_MILLIS = 20;
 
     private final PlatformServer platform;
     private final List<RouterNode> routers = new ArrayList<>();
@@ -50,7 +50,7 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             group.close();
-            throw new IllegalStateException("interrupted while the routers started", e);
+            throw new IllegalStateException("interrupted while starting the routers", e);
         } catch (RuntimeException e) {
             group.close();
             throw e;
@@ -71,7 +71,7 @@
     }
 
     private void startRouters(int count) {
-        // Routers need the addresses of the others before they start, so that port 0 is no choice here.
+        // Each router needs the peer addresses of the others before it starts, so port 0 cannot be used here.
         List<InetSocketAddress> peers = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             peers.add(freeAddress());
@@ -118,9 +118,9 @@
             apiKeys.add(key);
             objects.add(account("account-" + i, key));
         }
-        InetSocketAddress rpc =
+        InetSocketAddress rpcAddress =
                 LabServer.parseAddress("127.0.0.1:" + routers.get(0).rpcPort());
-        try (OperatorClient client = new OperatorClient(rpc)) {
+        try (LabOperatorClient client = new LabOperatorClient(rpcAddress)) {
             client.applyAll(objects, APPLY_TIMEOUT_MILLIS);
         }
     }
@@ -129,11 +129,12 @@
         long endNanos = System.nanoTime() + READY_TIMEOUT_MILLIS * 1_000_000;
         while (!routers.stream().allMatch(RouterNode::isReady)) {
             if (System.nanoTime() > endNanos) {
-                throw new IllegalStateException("a router did not become ready");
+                throw new IllegalStateException("a router did not become ready within the timeout");
             }
-            Thread.sleep(READY_CHECK_MILLIS);
+            Thread.sleep(READY_POLL_MILLIS);
         }
-        // One round of load reports and gossip, so that the first requests are placed with a known fleet.
+        // Waits for a round of load reports and gossip, so that the routers know the engines' load at the first
+        // request.
         Thread.sleep(1_000);
     }
 
--- a/agatelane-lab/src/main/java/io/agatelane/lab/experiment/RunSettings.java
+++ b/agatelane-lab/src/main/java/io/agatelane/lab/experiment/RunSettings.java
@@ -6,11 +6,11 @@
 import java.util.function.Consumer;
 
 /**
- * One run of an experiment.
+ * Settings of one run of an experiment.
  *
- * @param accounts client accounts
- * @param routers routers in front of the engines; the baselines have none
- * @param disturbance what happens to the engines; gets the started fleet when the run starts
+ * @param accounts number of client accounts
+ * @param routers number of routers in front of the engines; the baselines run without routers
+ * @param disturbance action that disturbs the engines; called with the started fleet when the run starts
  */
 record RunSettings(
         Workload workload,
--- a/agatelane-lab/src/main/java/io/agatelane/lab/experiment/StragglerExperiment.java
+++ b/agatelane-lab/src/main/java/io/agatelane/lab/experiment/StragglerExperiment.java
@@ -8,7 +8,9 @@
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
 
-/** One of 8 engines is 10 times slower in bursts of 5 s, and load reports come 2 s late. */
+/**
+ * Measures tail latency while one of 8 engines is 10 times slower in bursts of 5 s and load reports arrive 2 s late.
+ */
 @SuppressWarnings("FutureReturnValueIgnored") // The bursts are not awaited.
 final class StragglerExperiment implements Experiment.Body {
     private static final int ENGINES = 8;
@@ -22,15 +24,21 @@
     public String run(Experiment.Inputs inputs) throws InterruptedException {
         Workload workload = Workloads.chats(inputs, "aargau.json").withRate(REQUESTS_PER_SECOND);
         EngineSettings engine = EngineSettings.of("dossier-check", "v1").withControl(REPORT_LAG_MILLIS, 2_000, true);
-        RunSettings calm = RunSettings.of(workload, engine, ENGINES);
+        RunSettings undisturbedSettings = RunSettings.of(workload, engine, ENGINES);
         ScheduledExecutorService bursts = Executors.newSingleThreadScheduledExecutor();
         Table table = new Table("placement", "straggler", "ok", "not ok", "first p50 ms", "p99 ms", "p99 ratio");
         try {
             for (Strategy strategy : Strategy.values()) {
-                Outcome undisturbed = Runs.measure(strategy, calm);
-                Outcome disturbed = Runs.measure(strategy, calm.withDisturbance(fleet -> startBursts(bursts, fleet)));
+                ExperimentOutcome undisturbed = ExperimentRunner.measure(strategy, undisturbedSettings);
+                ExperimentOutcome disturbed = ExperimentRunner.measure(
+                        strategy, undisturbedSettings.withDisturbance(fleet -> startBursts(bursts, fleet)));
                 addRow(table, strategy, "no", undisturbed, 1.0);
-                addRow(table, strategy, "yes", disturbed, p99(disturbed) / p99(undisturbed));
+                addRow(
+                        table,
+                        strategy,
+                        "yes",
+                        disturbed,
+                        firstTokenP99Millis(disturbed) / firstTokenP99Millis(undisturbed));
             }
         } finally {
             bursts.shutdownNow();
@@ -41,17 +49,18 @@
     private static void startBursts(ScheduledExecutorService bursts, Fleet fleet) {
         long periodMillis = 2 * BURST_MILLIS;
         bursts.scheduleAtFixedRate(
-                () -> straggle(fleet, SLOWDOWN), FIRST_BURST_MILLIS, periodMillis, TimeUnit.MILLISECONDS);
+                () -> setSlowdown(fleet, SLOWDOWN), FIRST_BURST_MILLIS, periodMillis, TimeUnit.MILLISECONDS);
         bursts.scheduleAtFixedRate(
-                () -> straggle(fleet, 1), FIRST_BURST_MILLIS + BURST_MILLIS, periodMillis, TimeUnit.MILLISECONDS);
+                () -> setSlowdown(fleet, 1), FIRST_BURST_MILLIS + BURST_MILLIS, periodMillis, TimeUnit.MILLISECONDS);
     }
 
-    private static void straggle(Fleet fleet, double factor) {
+    private static void setSlowdown(Fleet fleet, double factor) {
         ObjectNode change = JsonNodeFactory.instance.objectNode().put("straggleFactor", factor);
         fleet.engines().get(0).applyFaults(change);
     }
 
-    private static void addRow(Table table, Strategy strategy, String straggler, Outcome outcome, double ratio) {
+    private static void addRow(
+            Table table, Strategy strategy, String straggler, ExperimentOutcome outcome, double ratio) {
         var stats = outcome.report().statsOf("dossier-check");
         table.row(
                 strategy.title(),
@@ -63,7 +72,7 @@
                 ratio);
     }
 
-    private static double p99(Outcome outcome) {
+    private static double firstTokenP99Millis(ExperimentOutcome outcome) {
         return outcome.report().statsOf("dossier-check").firstTokenMillis(99);
     }
 }
--- a/agatelane-lab/src/main/java/io/agatelane/lab/experiment/Strategy.java
+++ b/agatelane-lab/src/main/java/io/agatelane/lab/experiment/Strategy.java
@@ -2,7 +2,7 @@
 
 import io.agatelane.lab.load.LoadTarget;
 
-/** What decides where requests go. */
+/** A way to distribute requests over engines: a baseline, the oracle or the router. */
 enum Strategy {
     ROUND_ROBIN("round robin") {
         @Override
@@ -41,10 +41,10 @@
         return title;
     }
 
-    /** Starts whatever the strategy needs in front of the engines. */
+    /** Starts everything that the strategy needs in front of the engines. */
     abstract Placement start(Fleet fleet, RunSettings settings);
 
-    /** A started strategy. */
+    /** A started strategy: where it sends requests, and how it is closed. */
     record Placement(LoadTarget target, Runnable closer) implements AutoCloseable {
         private static Placement direct(EngineTarget target) {
             return new Placement(target, target::close);
--- a/agatelane-lab/src/main/java/io/agatelane/lab/experiment/Table.java
+++ b/agatelane-lab/src/main/java/io/agatelane/lab/experiment/Table.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Locale;
 
-/** A table of text with aligned columns. */
+/** A plain-text table with aligned columns. */
 public final class Table {
     private final List<String[]> rows = new ArrayList<>();
 
--- a/agatelane-lab/src/main/java/io/agatelane/lab/experiment/Workloads.java
+++ b/agatelane-lab/src/main/java/io/agatelane/lab/experiment/Workloads.java
@@ -4,11 +4,13 @@
 import io.agatelane.lab.load.WorkloadClass;
 import java.util.List;
 
-/** Workloads of the experiments, from the files of the two deployments. */
+/** Derives the workloads of the experiments from the workload files of the two deployments. */
 final class Workloads {
     private Workloads() {}
 
-    /** The chat requests of a workload file, without its rate steps. */
+    /**
+     * Reads a workload file and returns its chat classes without its rate steps, with seed and duration of the inputs.
+     */
     static Workload chats(Experiment.Inputs inputs, String file) {
         Workload all = Workload.read(inputs.workloads().resolve(file));
         List<WorkloadClass> chats = all.classes().stream()
@@ -20,7 +22,7 @@
                 .withDuration(inputs.durationMillis());
     }
 
-    /** A workload without one class, in which the others arrive as often as before. */
+    /** Returns a copy without one class, in which the others arrive as often as before. */
     static Workload without(Workload workload, String className) {
         return workload.withClasses(workload.classes().stream()
                 .filter(workloadClass -> !workloadClass.name().equals(className))
--- a/agatelane-lab/src/main/java/io/agatelane/lab/experiment/package-info.java
+++ b/agatelane-lab/src/main/java/io/agatelane/lab/experiment/package-info.java
@@ -1,2 +1,2 @@
-/** Experiments that compare the router with naive baselines and an oracle. */
+/** Experiments on loopback that compare the router with naive baselines and an oracle. */
 package io.agatelane.lab.experiment;
--- a/agatelane-lab/src/main/java/io/agatelane/lab/operator/OperatorClient.java
+++ b/agatelane-lab/src/main/java/io/agatelane/lab/operator/LabOperatorClient.java
@@ -12,19 +12,19 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** Applies configuration objects over gRPC. */
-public final class OperatorClient implements AutoCloseable {
+/** Applies configuration objects through a router's operator service. */
+public final class LabOperatorClient implements AutoCloseable {
     private static final int ANY_VERSION = -1;
     private static final long RETRY_MILLIS = 200;
-    private static final int IN_FORCE_MILLIS = 8_000;
+    private static final int IN_FORCE_WAIT_MILLIS = 8_000;
     private static final int CALL_TIMEOUT_SECONDS = 15;
 
     private final ManagedChannel channel;
-    private final OperatorServiceGrpc.OperatorServiceBlockingStub calls;
+    private final OperatorServiceGrpc.OperatorServiceBlockingStub stub;
 
-    public OperatorClient(InetSocketAddress address) {
+    public LabOperatorClient(InetSocketAddress address) {
         channel = NettyChannelBuilder.forAddress(address).usePlaintext().build();
-        calls = OperatorServiceGrpc.newBlockingStub(channel);
+        stub = OperatorServiceGrpc.newBlockingStub(channel);
     }
 
     /** Applies objects in order, waits until the last one is in force everywhere and returns its revision. */
@@ -33,7 +33,7 @@
         long revision = 0;
         for (int i = 0; i < objects.size(); i++) {
             // Only the last change waits for all routers, because it is in force after all earlier ones.
-            int waitMillis = i < objects.size() - 1 ? 0 : IN_FORCE_MILLIS;
+            int waitMillis = i < objects.size() - 1 ? 0 : IN_FORCE_WAIT_MILLIS;
             revision = apply(objects.get(i), waitMillis, endNanos).getRevision();
         }
         return revision;
@@ -53,13 +53,14 @@
                 .build();
         while (true) {
             try {
-                return calls.withDeadlineAfter(CALL_TIMEOUT_SECONDS, TimeUnit.SECONDS)
+                return stub.withDeadlineAfter(CALL_TIMEOUT_SECONDS, TimeUnit.SECONDS)
                         .apply(request);
             } catch (StatusRuntimeException e) {
-                // A router that is still starting, or a lost race: the same change identity makes a repeat safe.
+                // The router is still starting, or another change was applied first. The same change id makes a retry
+                // safe.
                 Status.Code code = e.getStatus().getCode();
-                boolean temporary = code == Status.Code.UNAVAILABLE || code == Status.Code.ABORTED;
-                if (!temporary || System.nanoTime() > endNanos) {
+                boolean retryable = code == Status.Code.UNAVAILABLE || code == Status.Code.ABORTED;
+                if (!retryable || System.nanoTime() > endNanos) {
                     throw e;
                 }
             }
--- a/agatelane-lab/src/main/java/io/agatelane/lab/operator/package-info.java
+++ b/agatelane-lab/src/main/java/io/agatelane/lab/operator/package-info.java
@@ -1,2 +1,2 @@
-/** Client of the operators' remote procedure calls. */
+/** Client of the operator gRPC service. */
 package io.agatelane.lab.operator;
--- a/agatelane-lab/src/test/java/io/agatelane/lab/path/LocalDeployment.java
+++ b/agatelane-lab/src/test/java/io/agatelane/lab/path/LocalDeployment.java
@@ -5,7 +5,7 @@
 import io.agatelane.lab.engine.EngineSettings;
 import io.agatelane.lab.engine.LocalKeptStore;
 import io.agatelane.lab.http.LabServer;
-import io.agatelane.lab.operator.OperatorClient;
+import io.agatelane.lab.operator.LabOperatorClient;
 import io.agatelane.lab.platform.PlatformServer;
 import io.agatelane.lab.service.ServiceServer;
 import io.agatelane.node.cfg.Settings;
@@ -27,7 +27,9 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Three routers, three engines and two service instances with the platform's stand-in, in one process on loopback. */
+/**
+ * Three routers, three engines and two service instances with a stand-in for the platform, in one process on loopback.
+ */
 final class LocalDeployment implements AutoCloseable {
     static final String API_KEY = "path-key";
     static final String MODEL = "dossier-check";
@@ -50,7 +52,7 @@
         for (int i = 0; i < ENGINES; i++) {
             engines.add(new EngineServer(anyPort(), engine, new LocalKeptStore(1_000)).start());
         }
-        // The instances do not know each other, so that each counts its own executions only.
+        // The instances have no peers, so that each counts only its own executions.
         services.add(new ServiceServer(anyPort(), "permits-0", List.of()).start());
         services.add(new ServiceServer(anyPort(), "permits-1", List.of()).start());
         for (int i = 0; i < ROUTERS; i++) {
@@ -61,21 +63,21 @@
         }
         configure();
         await(() -> routers.stream().allMatch(RouterNode::isReady));
-        // The first load reports tell which engines run the model.
+        // Waits for the first load reports, which show which engines run the model.
         Thread.sleep(500);
     }
 
-    /** Starts a router again in the place of one that was closed. */
+    /** Starts a router again, with the settings of the closed one that it replaces. */
     void restart(int index) {
         routers.set(index, RouterNode.start(settings(index)));
     }
 
-    /** Asks for other weights of the model. */
+    /** Configures another weights version of the model. */
     void rollOut(String weightsVersion) throws InterruptedException {
         apply(List.of(model(weightsVersion)));
     }
 
-    /** Whether each engine reports these weights. */
+    /** Whether each engine reports this weights version. */
     boolean allEnginesRun(String weightsVersion) throws IOException, InterruptedException {
         for (EngineServer engine : engines) {
             HttpRequest request =
@@ -106,7 +108,7 @@
         long endNanos = System.nanoTime() + WAIT_MILLIS * 1_000_000;
         while (!condition.holds()) {
             if (System.nanoTime() > endNanos) {
-                throw new IllegalStateException("the condition did not become true");
+                throw new IllegalStateException("the condition did not become true within the timeout");
             }
             Thread.sleep(10);
         }
@@ -168,7 +170,7 @@
     }
 
     private void apply(List<ConfigObject> objects) throws InterruptedException {
-        try (OperatorClient client = new OperatorClient(
+        try (LabOperatorClient client = new LabOperatorClient(
                 LabServer.parseAddress("127.0.0.1:" + routers.get(0).rpcPort()))) {
             client.applyAll(objects, WAIT_MILLIS);
         }
--- a/agatelane-lab/src/test/java/io/agatelane/lab/path/WholePathTest.java
+++ b/agatelane-lab/src/test/java/io/agatelane/lab/path/WholePathTest.java
@@ -28,7 +28,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Guards the path from caller to upstream and back through real routers, with failures on the way. */
+/** Tests the whole path from caller to upstream and back through real routers, with injected failures. */
 public final class WholePathTest {
     private static final ObjectMapper MAPPER = new ObjectMapper();
     private static final int TIMEOUT_SECONDS = 60;
@@ -48,9 +48,9 @@
         deployment.close();
     }
 
-    /** Guards I2 and I4: each caller gets its own whole stream, though others run at the same time. */
+    /** Each caller gets its own complete stream while others run (invariants I2 and I4 in docs/design.md). */
     @Test
-    public void concurrentStreamsAreCompleteAndTheCallersOwn() throws Exception {
+    public void concurrentStreamsAreCompleteAndNotMixedUp() throws Exception {
         List<CompletableFuture<ChatReader>> calls = new ArrayList<>();
         for (int i = 0; i < 30; i++) {
             calls.add(chat(i % 3, "question " + i, 20, ""));
@@ -60,7 +60,10 @@
         }
     }
 
-    /** Guards I2: a stream goes on elsewhere when its engine crashes, without a lost or repeated token. */
+    /**
+     * A stream continues on another engine after its engine crashes, without a lost or repeated token (invariant I2 in
+     * docs/design.md).
+     */
     @Test
     public void streamSurvivesTheCrashOfItsEngine() throws Exception {
         PartialReader stream = partialChat(0, "the long log", LONG_STREAM_TOKENS);
@@ -73,7 +76,10 @@
         assertComplete(stream.reader, "the long log", LONG_STREAM_TOKENS);
     }
 
-    /** Guards I2: a caller whose router is gone goes on at another router where its stream stopped. */
+    /**
+     * A caller whose router stopped continues its stream at another router, from the token where it ended (invariant I2
+     * in docs/design.md).
+     */
     @Test
     public void callerResumesAtAnotherRouter() throws Exception {
         PartialReader first = partialChat(0, "the long log", LONG_STREAM_TOKENS);
@@ -81,65 +87,78 @@
         deployment.routers.get(0).close();
         first.awaitEnd();
         assertFalse(first.reader.isDone(), "the stream ended before its router did");
-        ChatReader rest = chat(1, "the long log", LONG_STREAM_TOKENS, first.reader.lastEventId())
+        ChatReader remainder = chat(1, "the long log", LONG_STREAM_TOKENS, first.reader.lastEventId())
                 .get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
-        assertTrue(rest.isDone(), "problem: " + rest.problem());
-        assertEquals(first.reader.text() + rest.text(), expected("the long log", LONG_STREAM_TOKENS));
+        assertTrue(remainder.isDone(), "problem: " + remainder.problem());
+        assertEquals(first.reader.text() + remainder.text(), expected("the long log", LONG_STREAM_TOKENS));
     }
 
-    /** Guards I8: a router that is told to stop finishes its streams and its bookings. */
+    /** A router that shuts down gracefully finishes its streams and bookings (invariant I8 in docs/design.md). */
     @Test
-    public void gracefulShutdownCutsNoRequest() throws Exception {
+    public void gracefulShutdownInterruptsNoRequest() throws Exception {
         List<CompletableFuture<ChatReader>> calls = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
             calls.add(chat(1, "log " + i, 150, ""));
         }
         LocalDeployment.await(() -> deployment.engines.stream().anyMatch(WholePathTest::hasRequests));
-        CompletableFuture<HttpResponse<String>> booking = book(1, "shutdown-key");
+        CompletableFuture<HttpResponse<String>> booking = sendBooking(1, "shutdown-key");
         deployment.routers.get(1).shutDownGracefully();
         for (int i = 0; i < calls.size(); i++) {
             assertComplete(calls.get(i).get(TIMEOUT_SECONDS, TimeUnit.SECONDS), "log " + i, 150);
         }
         assertEquals(booking.get(TIMEOUT_SECONDS, TimeUnit.SECONDS).statusCode(), 200);
         assertEquals(
-                book(0, "shutdown-key").get(TIMEOUT_SECONDS, TimeUnit.SECONDS).statusCode(), 200);
+                sendBooking(0, "shutdown-key")
+                        .get(TIMEOUT_SECONDS, TimeUnit.SECONDS)
+                        .statusCode(),
+                200);
         assertEquals(executions("shutdown-key"), 1);
     }
 
-    /** Guards I6 and I4: a booking sent many times at once through all routers runs once, and all get its answer. */
+    /**
+     * A booking that is sent many times at once through all routers runs once, and all callers get its response
+     * (invariants I4 and I6 in docs/design.md).
+     */
     @Test
     public void bookingRunsOnceThroughAllRouters() throws Exception {
         List<CompletableFuture<HttpResponse<String>>> calls = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
-            calls.add(book(i % 3, "renewal-1"));
+            calls.add(sendBooking(i % 3, "renewal-1"));
         }
-        Set<String> answers = new TreeSet<>();
+        Set<String> bodies = new TreeSet<>();
         for (CompletableFuture<HttpResponse<String>> call : calls) {
-            HttpResponse<String> answer = call.get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
-            assertEquals(answer.statusCode(), 200, answer.body());
-            answers.add(answer.body());
+            HttpResponse<String> response = call.get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
+            assertEquals(response.statusCode(), 200, response.body());
+            bodies.add(response.body());
         }
-        assertEquals(answers.size(), 1, answers.toString());
+        assertEquals(bodies.size(), 1, bodies.toString());
         assertEquals(executions("renewal-1"), 1);
     }
 
-    /** Guards I5 and I6: while the platform is out, a refusal claims nothing about other owners; afterwards it runs once. */
+    /**
+     * While the platform is unavailable, a refusal does not claim that no other router ran the booking; after the
+     * outage the booking runs once (invariants I5 and I6 in docs/design.md).
+     */
     @Test
-    public void bookingDuringAnOutageIsRefusedTruthfully() throws Exception {
-        assertEquals(book(0, "before").get(TIMEOUT_SECONDS, TimeUnit.SECONDS).statusCode(), 200);
+    public void refusalDuringAnOutageLeavesExecutionUnknown() throws Exception {
+        assertEquals(
+                sendBooking(0, "before").get(TIMEOUT_SECONDS, TimeUnit.SECONDS).statusCode(), 200);
         setOutage(true);
-        HttpResponse<String> refused = book(1, "during").get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
+        HttpResponse<String> refused = sendBooking(1, "during").get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
         assertEquals(refused.statusCode(), 503, refused.body());
         assertEquals(MAPPER.readTree(refused.body()).path("executed").asText(), "unknown", refused.body());
         assertEquals(executions("during"), 0);
         setOutage(false);
-        LocalDeployment.await(
-                () -> book(2, "during").get(TIMEOUT_SECONDS, TimeUnit.SECONDS).statusCode() == 200);
+        LocalDeployment.await(() ->
+                sendBooking(2, "during").get(TIMEOUT_SECONDS, TimeUnit.SECONDS).statusCode() == 200);
         assertEquals(executions("during"), 1);
         assertEquals(executions("before"), 1);
     }
 
-    /** Guards I1 and service under a roll-out: each answer comes whole from one version, and none is refused. */
+    /**
+     * During a roll-out no request is refused, and each response comes entirely from one weights version (invariant I1
+     * in docs/design.md).
+     */
     @Test
     public void rollOutOfWeightsRefusesNoRequest() throws Exception {
         String oldText = expected("question", 10);
@@ -154,7 +173,10 @@
         });
     }
 
-    /** Guards I3: a router that starts while the platform is out serves with the configuration of a peer. */
+    /**
+     * A router that starts while the platform is unavailable serves with the configuration of a peer (invariant I3 in
+     * docs/design.md).
+     */
     @Test
     public void routerRestartsDuringAnOutage() throws Exception {
         setOutage(true);
@@ -214,7 +236,7 @@
         return request.build();
     }
 
-    private CompletableFuture<HttpResponse<String>> book(int router, String key) {
+    private CompletableFuture<HttpResponse<String>> sendBooking(int router, String key) {
         HttpRequest request = HttpRequest.newBuilder(URI.create(deployment.url(router) + "/services/permits/renewals"))
                 .header("Authorization", "Bearer " + LocalDeployment.API_KEY)
                 .header("Idempotency-Key", key)
