--- a/agatelane-lab/src/main/java/io/agatelane/lab/demo/Demo.java
+++ b/agatelane-lab/src/main/java/io/agatelane/lab/demo/Demo.java
@@ -20,22 +20,22 @@
 import java.util.concurrent.CompletionException;
 import org.eclipse.jetty.http.HttpMethod;
 
-/** Sends streaming requests with nested prefixes and one booking many times, and checks the answers. */
+/** Sends streaming requests with nested prefixes and one booking many times, and checks the responses. */
 public final class Demo {
     private static final long TIMEOUT_MILLIS = 30_000;
     private static final int DISTRICTS = 2;
     private static final int DOSSIERS = 3;
     private static final int MAX_TOKENS = 12;
     private static final int MAX_BOOKING_ROUNDS = 50;
-    // The regulations are 2,000 tokens, a district 800 and a dossier 400: every level spans whole blocks.
-    private static final int REGULATION_WORDS = 2_000;
-    private static final int DISTRICT_WORDS = 800;
-    private static final int DOSSIER_WORDS = 400;
+    // A token has 4 bytes and each repeated word 7. With 2,000, 800 and 400 tokens every level spans whole blocks.
+    private static final int REGULATION_TOKENS = 2_000;
+    private static final int DISTRICT_TOKENS = 800;
+    private static final int DOSSIER_TOKENS = 400;
 
     private final LabClient client;
     private final LocalSystem system;
     private final int retries;
-    private boolean correct = true;
+    private boolean passed = true;
 
     /** Creates a run against a system; the booking is sent {@code retries} times at once. */
     public Demo(LabClient client, LocalSystem system, int retries) {
@@ -44,20 +44,20 @@
         this.retries = retries;
     }
 
-    /** Runs everything and returns whether all of it was right. */
+    /** Sends all requests and returns whether every check passed. */
     public boolean run() throws InterruptedException {
         long promptTokens = 0;
         long cachedTokens = 0;
         int index = 0;
         for (int dossier = 0; dossier < DOSSIERS; dossier++) {
             for (int district = 0; district < DISTRICTS; district++) {
-                ChatReader answer = chat(index++, district, dossier);
-                promptTokens += answer.promptTokens();
-                cachedTokens += answer.cachedTokens();
+                ChatReader reader = chat(index++, district, dossier);
+                promptTokens += reader.promptTokens();
+                cachedTokens += reader.cachedTokens();
             }
         }
         String key = "renewal-" + Long.toHexString(System.nanoTime());
-        book(key);
+        sendBookings(key);
         int executions = executions(key);
         check(executions == 1, "the booking ran " + executions + " times");
         double hitRate = promptTokens == 0 ? 0 : 100.0 * cachedTokens / promptTokens;
@@ -65,24 +65,24 @@
         System.out.printf(
                 "summary: %d streams, prefix hit rate %.1f%% (%d of %d prompt tokens), booking executions %d%n",
                 index, hitRate, cachedTokens, promptTokens, executions);
-        System.out.println(correct ? "demo: everything was right" : "demo: something was wrong, see above");
-        return correct;
+        System.out.println(passed ? "demo: everything was right" : "demo: something was wrong, see above");
+        return passed;
     }
 
     private ChatReader chat(int index, int district, int dossier) {
         Arrival arrival = arrivalOf(index, district, dossier);
         String url = system.routerUrls().get(index % system.routerUrls().size());
-        Answer answer = call(
+        Answer response = call(
                 url + "/v1/chat/completions",
                 arrival.body(),
                 Map.of("Authorization", "Bearer " + system.apiKeys().get(0)));
         ChatReader reader = new ChatReader(() -> {});
         String name = "district " + district + " dossier " + dossier + " through " + url;
-        if (answer.status() != 200) {
-            check(false, name + ": status " + answer.status() + " " + answer.text());
+        if (response.status() != 200) {
+            check(false, name + ": status " + response.status() + " " + response.text());
             return reader;
         }
-        reader.feed(ByteBuffer.wrap(answer.text().getBytes(StandardCharsets.UTF_8)));
+        reader.feed(ByteBuffer.wrap(response.text().getBytes(StandardCharsets.UTF_8)));
         System.out.printf(
                 "%s: \"%s\" cached %d of %d prompt tokens, last event %s%n",
                 name, reader.text().strip(), reader.cachedTokens(), reader.promptTokens(), reader.lastEventId());
@@ -95,36 +95,36 @@
         WorkloadClass dossierCheck =
                 new WorkloadClass("demo", "chat", system.models().get(0), 1, List.<PromptLevel>of(), 0, MAX_TOKENS);
         List<String> texts = List.of(
-                "Municipal regulations on skips. " + "clause ".repeat(REGULATION_WORDS * 4 / 7),
-                "District " + district + ". " + "street ".repeat(DISTRICT_WORDS * 4 / 7),
-                "Dossier " + district + "-" + dossier + ". " + "permit ".repeat(DOSSIER_WORDS * 4 / 7),
+                "Municipal regulations on skips. " + "clause ".repeat(REGULATION_TOKENS * 4 / 7),
+                "District " + district + ". " + "street ".repeat(DISTRICT_TOKENS * 4 / 7),
+                "Dossier " + district + "-" + dossier + ". " + "permit ".repeat(DOSSIER_TOKENS * 4 / 7),
                 "Is the renewal admissible?");
         return new Arrival(index, 0, dossierCheck, 0, texts, "demo-" + index);
     }
 
-    /** Sends the booking at once through all routers, and again until every caller has the confirmation. */
-    private void book(String key) throws InterruptedException {
+    /** Sends the booking many times at once through all routers, and repeats those that were not confirmed. */
+    private void sendBookings(String key) throws InterruptedException {
         Map<String, Integer> outcomes = new TreeMap<>();
         List<String> serials = new ArrayList<>();
-        int missing = retries;
-        for (int round = 0; round < MAX_BOOKING_ROUNDS && missing > 0; round++) {
+        int unconfirmed = retries;
+        for (int round = 0; round < MAX_BOOKING_ROUNDS && unconfirmed > 0; round++) {
             List<CompletableFuture<Answer>> calls = new ArrayList<>();
-            for (int i = 0; i < missing; i++) {
+            for (int i = 0; i < unconfirmed; i++) {
                 calls.add(sendBooking(key, i));
             }
             for (CompletableFuture<Answer> call : calls) {
-                Answer answer = join(call);
-                outcomes.merge(answer == null ? "no answer" : "status " + answer.status(), 1, Integer::sum);
-                if (answer != null && answer.status() == 200) {
-                    missing--;
-                    serials.add(serialOf(answer, key));
+                Answer response = join(call);
+                outcomes.merge(response == null ? "no answer" : "status " + response.status(), 1, Integer::sum);
+                if (response != null && response.status() == 200) {
+                    unconfirmed--;
+                    serials.add(serialOf(response, key));
                 }
             }
-            Thread.sleep(missing > 0 ? 100 : 0);
+            Thread.sleep(unconfirmed > 0 ? 100 : 0);
         }
         System.out.println("booking " + key + ": " + outcomes + ", serials "
                 + serials.stream().distinct().toList());
-        check(missing == 0, missing + " callers got no confirmation");
+        check(unconfirmed == 0, unconfirmed + " callers got no confirmation");
         check(serials.stream().distinct().count() == 1, "callers got different confirmations");
     }
 
@@ -136,8 +136,8 @@
         return client.call(HttpMethod.POST, url + system.bookingPaths().get(0), body, headers, TIMEOUT_MILLIS);
     }
 
-    private String serialOf(Answer answer, String key) {
-        JsonNode confirmation = answer.json();
+    private String serialOf(Answer response, String key) {
+        JsonNode confirmation = response.json();
         check(key.equals(confirmation.path("key").asText()), "a confirmation belongs to another booking");
         return confirmation.path("serial").asText();
     }
@@ -164,7 +164,7 @@
 
     private void check(boolean condition, String message) {
         if (!condition) {
-            correct = false;
+            passed = false;
             System.out.println("WRONG: " + message);
         }
     }
--- a/agatelane-lab/src/main/java/io/agatelane/lab/demo/package-info.java
+++ b/agatelane-lab/src/main/java/io/agatelane/lab/demo/package-info.java
@@ -1,2 +1,2 @@
-/** The demonstration run. */
+/** Demonstration of prefix caching and of bookings that run once. */
 package io.agatelane.lab.demo;
