--- a/agatelane-lab/src/main/java/io/agatelane/lab/Main.java
+++ b/agatelane-lab/src/main/java/io/agatelane/lab/Main.java
@@ -8,7 +8,7 @@
 import io.agatelane.lab.cli.EngineCommand;
 import io.agatelane.lab.cli.ExperimentCommand;
 import io.agatelane.lab.cli.LoadCommand;
-import io.agatelane.lab.cli.LogFiles;
+import io.agatelane.lab.cli.LogSetup;
 import io.agatelane.lab.cli.PlatformCommand;
 import io.agatelane.lab.cli.ServiceCommand;
 import io.agatelane.lab.http.BadRequestException;
@@ -26,7 +26,7 @@
     }
 
     private static int run(String[] args) {
-        LogFiles.quiet();
+        LogSetup.configureFormat();
         JCommander parser = JCommander.newBuilder().programName("agatelane-lab").build();
         List<Command> commands = List.of(
                 new PlatformCommand(),
--- a/agatelane-lab/src/main/java/io/agatelane/lab/cli/DemoCommand.java
+++ b/agatelane-lab/src/main/java/io/agatelane/lab/cli/DemoCommand.java
@@ -7,7 +7,7 @@
 import io.agatelane.lab.load.LocalSystem;
 import java.nio.file.Path;
 
-/** Shows nested prefixes and an often repeated booking on a running system. */
+/** Demonstrates nested prefixes and a booking that is sent many times, on a running system. */
 @Parameters(commandNames = "demo", commandDescription = "Sends the demonstration requests to a running system.")
 public final class DemoCommand implements Command {
     @Parameter(names = "--system", required = true, description = "JSON file written by scripts/local-up")
--- a/agatelane-lab/src/main/java/io/agatelane/lab/cli/EngineCommand.java
+++ b/agatelane-lab/src/main/java/io/agatelane/lab/cli/EngineCommand.java
@@ -8,7 +8,7 @@
 import io.agatelane.lab.engine.KeptStores;
 import io.agatelane.lab.http.LabServer;
 
-/** Runs the stand-in of a model engine. */
+/** Runs the stand-in for a model engine. */
 @Parameters(commandNames = "engine", commandDescription = "Runs a stand-in of a model engine.")
 public final class EngineCommand implements Command {
     @Parameter(names = "--http", required = true, description = "IP:PORT to listen on; port 0 takes a free one")
@@ -47,11 +47,14 @@
     @Parameter(names = "--orphan-millis", description = "Time for which a request without a reader keeps running")
     private long orphanMillis = 5_000;
 
-    @Parameter(names = "--checks-fencing", arity = 1, description = "Whether orders with an old number are refused")
+    @Parameter(
+            names = "--checks-fencing",
+            arity = 1,
+            description = "Whether orders with an old fencing number are refused")
     private boolean checksFencing = true;
 
-    @Parameter(names = "--kept-store", description = "URL of the engine command that keeps saved KV cache")
-    private String keptStoreUrl = "";
+    @Parameter(names = "--kept-store", description = "URL of the engine command that stores saved KV cache blocks")
+    private String blockStoreUrl = "";
 
     @Override
     public int run() throws Exception {
@@ -68,8 +71,8 @@
                 importMillisPerBlock,
                 orphanMillis,
                 checksFencing);
-        KeptStore keptStore = KeptStores.at(keptStoreUrl);
-        try (EngineServer server = new EngineServer(LabServer.parseAddress(http), settings, keptStore).start()) {
+        KeptStore blockStore = KeptStores.at(blockStoreUrl);
+        try (EngineServer server = new EngineServer(LabServer.parseAddress(http), settings, blockStore).start()) {
             System.out.println("listening " + server.url());
             server.join();
         }
--- a/agatelane-lab/src/main/java/io/agatelane/lab/cli/ExperimentCommand.java
+++ b/agatelane-lab/src/main/java/io/agatelane/lab/cli/ExperimentCommand.java
@@ -27,7 +27,7 @@
 
     @Override
     public int run() throws Exception {
-        LogFiles.to(Path.of(log));
+        LogSetup.writeTo(Path.of(log));
         for (String name : names) {
             System.out.println(Experiment.of(name).run(Path.of(workloads), seed, durationMillis));
         }
--- a/agatelane-lab/src/main/java/io/agatelane/lab/cli/LoadCommand.java
+++ b/agatelane-lab/src/main/java/io/agatelane/lab/cli/LoadCommand.java
@@ -29,25 +29,27 @@
     @Parameter(names = "--duration-millis", description = "Duration instead of the one in the workload")
     private Long durationMillis;
 
-    @Parameter(names = "--weights-version", description = "Weights to compare answers with; empty skips this")
+    @Parameter(
+            names = "--weights-version",
+            description = "Weights version whose output responses are compared with; empty skips this")
     private String weightsVersion = "v1";
 
     @Override
     public int run() throws Exception {
-        LocalSystem running = LocalSystem.read(Path.of(system));
-        Workload plan = Workload.read(Path.of(workload));
-        plan = seed == null ? plan : plan.withSeed(seed);
-        plan = rate == null ? plan : plan.withRate(rate);
-        plan = durationMillis == null ? plan : plan.withDuration(durationMillis);
+        LocalSystem localSystem = LocalSystem.read(Path.of(system));
+        Workload adjusted = Workload.read(Path.of(workload));
+        adjusted = seed == null ? adjusted : adjusted.withSeed(seed);
+        adjusted = rate == null ? adjusted : adjusted.withRate(rate);
+        adjusted = durationMillis == null ? adjusted : adjusted.withDuration(durationMillis);
         RouterTarget target = new RouterTarget(
-                running.routerUrls(),
-                running.apiKeys(),
-                running.bookingPaths().stream().findFirst().orElse(""));
+                localSystem.routerUrls(),
+                localSystem.apiKeys(),
+                localSystem.bookingPaths().stream().findFirst().orElse(""));
         try (LabClient client = new LabClient()) {
-            LoadRunner runner = new LoadRunner(client, plan, weightsVersion, target);
+            LoadRunner runner = new LoadRunner(client, adjusted, weightsVersion, target);
             WorkloadReport report =
-                    runner.run(ArrivalPlan.of(plan, running.apiKeys().size()));
-            System.out.printf("workload %s, seed %d%n%s", plan.name(), plan.seed(), report.toTable());
+                    runner.run(ArrivalPlan.of(adjusted, localSystem.apiKeys().size()));
+            System.out.printf("workload %s, seed %d%n%s", adjusted.name(), adjusted.seed(), report.toTable());
             System.out.printf("hit rate %.3f%n", report.hitRate());
             return report.failedCount() == 0 ? 0 : 1;
         }
--- a/agatelane-lab/src/main/java/io/agatelane/lab/cli/LogFiles.java
+++ b/agatelane-lab/src/main/java/io/agatelane/lab/cli/LogSetup.java
@@ -9,22 +9,22 @@
 import java.util.logging.Logger;
 import java.util.logging.SimpleFormatter;
 
-/** Where the log of this process goes. */
-public final class LogFiles {
+/** Configures the log output of this process. */
+public final class LogSetup {
     private static final Logger ROOT = Logger.getLogger("");
-    // Held here, because the logging system keeps only weak references to loggers.
+    // A strong reference, because the logging system holds loggers by weak references only.
     private static final Logger JETTY = Logger.getLogger("org.eclipse.jetty");
 
-    private LogFiles() {}
+    private LogSetup() {}
 
-    /** Leaves out the start messages of the HTTP library. */
-    public static void quiet() {
+    /** Sets the format of log lines and suppresses the start messages of the HTTP library. */
+    public static void configureFormat() {
         System.setProperty("java.util.logging.SimpleFormatter.format", "time=%1$tFT%1$tT.%1$tL%1$tz level=%4$s %5$s%n");
         JETTY.setLevel(Level.WARNING);
     }
 
-    /** Writes the log to a file. An experiment keeps the cost of the log lines but not their text in its output. */
-    public static void to(Path file) throws IOException {
+    /** Writes the log to a file, so that experiments include the cost of log lines without printing them. */
+    public static void writeTo(Path file) throws IOException {
         Files.createDirectories(file.toAbsolutePath().getParent());
         for (Handler handler : ROOT.getHandlers()) {
             ROOT.removeHandler(handler);
--- a/agatelane-lab/src/main/java/io/agatelane/lab/cli/PlatformCommand.java
+++ b/agatelane-lab/src/main/java/io/agatelane/lab/cli/PlatformCommand.java
@@ -5,7 +5,7 @@
 import io.agatelane.lab.http.LabServer;
 import io.agatelane.lab.platform.PlatformServer;
 
-/** Runs the stand-in of the platform's key-value service. */
+/** Runs the stand-in for the platform's key-value service. */
 @Parameters(commandNames = "platform", commandDescription = "Runs a stand-in of the platform's key-value service.")
 public final class PlatformCommand implements Command {
     @Parameter(names = "--http", required = true, description = "IP:PORT to listen on; port 0 takes a free one")
--- a/agatelane-lab/src/main/java/io/agatelane/lab/cli/ServiceCommand.java
+++ b/agatelane-lab/src/main/java/io/agatelane/lab/cli/ServiceCommand.java
@@ -6,7 +6,7 @@
 import io.agatelane.lab.service.ServiceServer;
 import java.util.List;
 
-/** Runs the stand-in of one instance of a plain service. */
+/** Runs the stand-in for one instance of a plain service. */
 @Parameters(commandNames = "service", commandDescription = "Runs a stand-in of one instance of a plain service.")
 public final class ServiceCommand implements Command {
     @Parameter(names = "--http", required = true, description = "IP:PORT to listen on; port 0 takes a free one")
--- a/agatelane-lab/src/main/java/io/agatelane/lab/package-info.java
+++ b/agatelane-lab/src/main/java/io/agatelane/lab/package-info.java
@@ -1,2 +1,2 @@
-/** Stand-ins of the outside systems, load tool and experiments. Not shipped. */
+/** Stand-ins for external systems, load generator and experiments. Not part of the shipped program. */
 package io.agatelane.lab;
