--- a/agatelane-lab/src/main/java/io/agatelane/lab/bench/DecisionBenchmark.java
+++ b/agatelane-lab/src/main/java/io/agatelane/lab/bench/DecisionBenchmark.java
@@ -30,8 +30,8 @@
 import org.openjdk.jmh.annotations.Warmup;
 
 /**
- * Time of one routing decision over fleets of several sizes. Prompts have 6 prefix levels. Run with {@code -prof gc} to
- * see the allocation of a decision.
+ * Measures the time of one routing decision over fleets of several sizes. Prompts have 6 prefix levels. Run with
+ * {@code -prof gc} to see the allocation of a decision.
  */
 @State(Scope.Benchmark)
 @BenchmarkMode(Mode.SampleTime)
@@ -41,16 +41,16 @@
 @Fork(1)
 public class DecisionBenchmark {
     private static final int MODELS = 7;
-    private static final int SMALLEST_DIVIDED_FLEET = 70;
+    private static final int MIN_UPSTREAMS_FOR_ALL_MODELS = 70;
     private static final int PROMPTS = 4_096;
     private static final int LEVELS = 6;
     private static final int SHARED_LEVELS = 4;
-    private static final int REPEATS_PER_BLOCK = 80;
+    private static final int REPEATS_PER_LEVEL = 80;
     private static final int HINT_BITS = 17;
     private static final int RATE_BITS = 15;
     private static final long NOW_MILLIS = 10_000;
 
-    /** Upstreams of all models; fleets of 70 and more are spread over 7 models. */
+    /** Number of upstreams of all models; 70 and more are divided among 7 models. */
     @Param({"8", "800", "7200"})
     public int upstreams;
 
@@ -62,13 +62,13 @@
     private final List<RequestProfile> newProfiles = new ArrayList<>();
     private final ChoiceRules rules = new ChoiceRules(RoutingPolicy.DEFAULT, 8, upstream -> false);
     private Chooser chooser;
-    private int next;
+    private int nextPrompt;
 
     /** Builds the fleets and prompts. */
     @Setup
     public void setUp() {
         UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(1);
-        int models = upstreams < SMALLEST_DIVIDED_FLEET ? 1 : MODELS;
+        int models = upstreams < MIN_UPSTREAMS_FOR_ALL_MODELS ? 1 : MODELS;
         for (int model = 0; model < models; model++) {
             List<UpstreamState> members = new ArrayList<>();
             for (int i = model; i < upstreams; i += models) {
@@ -83,33 +83,33 @@
         }
         chooser = new Chooser(hints, rates);
         for (RequestProfile profile : profiles) {
-            learn(profile, random);
+            recordPlacement(profile, random);
         }
     }
 
-    /** A prompt whose first four levels are shared with others and whose last two are new. */
+    /** Decides for a prompt whose first four levels are shared with others and whose last two are new. */
     @Benchmark
     public Decision choose() {
-        int index = next++ & (PROMPTS - 1);
+        int index = nextPrompt++ & (PROMPTS - 1);
         return chooser.choose(fleets.get(index % fleets.size()), profiles.get(index), rules, NOW_MILLIS);
     }
 
-    /** A prompt with six levels that no recent request had. */
+    /** Decides for a prompt with six levels that no recent request had. */
     @Benchmark
     public Decision chooseAllNew() {
-        int index = next++ & (PROMPTS - 1);
+        int index = nextPrompt++ & (PROMPTS - 1);
         return chooser.choose(fleets.get(index % fleets.size()), newProfiles.get(index), rules, NOW_MILLIS);
     }
 
-    /** The selection of the levels, and the decision. */
+    /** Selects the prefix levels of a prompt and decides for it. */
     @Benchmark
     public Decision profileAndChoose() {
-        int index = next++ & (PROMPTS - 1);
+        int index = nextPrompt++ & (PROMPTS - 1);
         RequestProfile profile = new RequestProfile("m", prompts.get(index), 100, index);
         return chooser.choose(fleets.get(index % fleets.size()), profile, rules, NOW_MILLIS);
     }
 
-    private void learn(RequestProfile profile, UniformRandomProvider random) {
+    private void recordPlacement(RequestProfile profile, UniformRandomProvider random) {
         ModelFleet fleet = fleets.get(random.nextInt(fleets.size()));
         UpstreamState engine = fleet.member(random.nextInt(fleet.size()));
         for (int level = 0; level < profile.levelCount(); level++) {
@@ -132,9 +132,9 @@
     private static PromptDigests prompt(int index, boolean allNew) {
         PromptDigester digester = new PromptDigester(allNew ? "new/v1" : "account/v1");
         for (int level = 0; level < LEVELS; level++) {
-            // 4, 8, 16 and 32 different texts in the shared levels.
+            // 4, 8, 16 and 32 distinct texts in the shared levels.
             int text = allNew || level >= SHARED_LEVELS ? index : index % (SHARED_LEVELS << level);
-            digester.add("user", ("level " + level + " text " + text + " ").repeat(REPEATS_PER_BLOCK));
+            digester.add("user", ("level " + level + " text " + text + " ").repeat(REPEATS_PER_LEVEL));
         }
         return digester.build();
     }
--- a/agatelane-lab/src/main/java/io/agatelane/lab/bench/package-info.java
+++ b/agatelane-lab/src/main/java/io/agatelane/lab/bench/package-info.java
@@ -1,2 +1,2 @@
-/** Microbenchmarks. */
+/** JMH microbenchmarks. */
 package io.agatelane.lab.bench;
--- a/agatelane-lab/src/main/java/io/agatelane/lab/capacity/BookingSlope.java
+++ b/agatelane-lab/src/main/java/io/agatelane/lab/capacity/BookingGrowth.java
@@ -18,19 +18,19 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** Memory and processor time of one partition by the number of bookings that it keeps. */
-final class BookingSlope {
-    private static final int[] BOOKINGS = {1_000, 4_000, 16_000};
-    private static final int PER_SEGMENT = 200;
+/** Measures memory and processing time of one partition by the number of finished bookings that it holds. */
+final class BookingGrowth {
+    private static final int[] BOOKING_COUNTS = {1_000, 4_000, 16_000};
+    private static final int BOOKINGS_PER_SEGMENT = 200;
     private static final int RETRIES = 20_000;
     private static final Now NOW = new Now(1_000, 1_700_000_000_000L);
     private static final AttemptId RETRY = new AttemptId("router-2", 1, 1);
 
-    private BookingSlope() {}
+    private BookingGrowth() {}
 
     static String run() {
         Table table = new Table("finished bookings", "heap, bytes", "heap per booking, bytes", "retry, us");
-        for (int bookings : BOOKINGS) {
+        for (int bookings : BOOKING_COUNTS) {
             Heap.Measured<PartitionMachine> partition = Heap.measure(() -> load(bookings));
             double retryMicros = Timing.micros(
                     RETRIES, i -> partition.value().claim(NOW, i, key(i % bookings), RETRY, digest(i % bookings)));
@@ -42,9 +42,9 @@
     private static PartitionMachine load(int bookings) {
         Map<String, Segment> sealed = new HashMap<>();
         List<SealedRef> references = new ArrayList<>();
-        for (int first = 0; first < bookings; first += PER_SEGMENT) {
+        for (int first = 0; first < bookings; first += BOOKINGS_PER_SEGMENT) {
             List<Booking> entries = new ArrayList<>();
-            for (int i = first; i < Math.min(bookings, first + PER_SEGMENT); i++) {
+            for (int i = first; i < Math.min(bookings, first + BOOKINGS_PER_SEGMENT); i++) {
                 entries.add(finished(i));
             }
             String name = first + "-1";
--- a/agatelane-lab/src/main/java/io/agatelane/lab/capacity/ConfigSlope.java
+++ b/agatelane-lab/src/main/java/io/agatelane/lab/capacity/ConfigGrowth.java
@@ -18,32 +18,32 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Size of the configuration by the number of client accounts and upstreams. */
-final class ConfigSlope {
-    private static final int[] ACCOUNTS = {1_000, 4_000, 13_000};
-    private static final int[] UPSTREAMS = {550, 2_200, 7_200};
-    private static final int BUILDS = 30;
+/** Measures size and build time of the configuration by the number of client accounts and upstreams. */
+final class ConfigGrowth {
+    private static final int[] ACCOUNT_COUNTS = {1_000, 4_000, 13_000};
+    private static final int[] UPSTREAM_COUNTS = {550, 2_200, 7_200};
+    private static final int SNAPSHOT_BUILDS = 30;
     private static final double MICROS_PER_MILLI = 1_000;
     private static final int MODELS = 7;
     private static final int ZONES = 22;
 
-    private ConfigSlope() {}
+    private ConfigGrowth() {}
 
     static String run() {
         Table table = new Table(
                 "accounts", "upstreams", "all shards, bytes", "largest shard, bytes", "heap, bytes", "snapshot, ms");
-        for (int i = 0; i < ACCOUNTS.length; i++) {
-            int accounts = ACCOUNTS[i];
-            int upstreams = UPSTREAMS[i];
-            Heap.Measured<Loaded> loaded = Heap.measure(() -> load(accounts, upstreams));
+        for (int i = 0; i < ACCOUNT_COUNTS.length; i++) {
+            int accounts = ACCOUNT_COUNTS[i];
+            int upstreams = UPSTREAM_COUNTS[i];
+            Heap.Measured<LoadedConfig> loaded = Heap.measure(() -> load(accounts, upstreams));
             ConfigState state = loaded.value().state;
-            double buildMicros = Timing.micros(BUILDS, unused -> state.snapshot());
+            double buildMicros = Timing.micros(SNAPSHOT_BUILDS, unused -> state.snapshot());
             table.row(
                     accounts,
                     upstreams,
-                    state.shards().stream().mapToLong(ConfigSlope::wireBytes).sum(),
+                    state.shards().stream().mapToLong(ConfigGrowth::wireBytes).sum(),
                     state.shards().stream()
-                            .mapToLong(ConfigSlope::wireBytes)
+                            .mapToLong(ConfigGrowth::wireBytes)
                             .max()
                             .orElse(0),
                     loaded.bytes(),
@@ -52,7 +52,7 @@
         return table.toString();
     }
 
-    private static Loaded load(int accounts, int upstreams) {
+    private static LoadedConfig load(int accounts, int upstreams) {
         List<List<StoredObject>> objects = new ArrayList<>();
         for (int i = 0; i < ShardLayout.SHARDS; i++) {
             objects.add(new ArrayList<>());
@@ -83,7 +83,7 @@
             shards.add(new Shard(i, i + 1, objects.get(i)));
         }
         ConfigState state = ConfigState.empty().advance(head, shards);
-        return new Loaded(state, state.snapshot());
+        return new LoadedConfig(state, state.snapshot());
     }
 
     private static void add(List<List<StoredObject>> objects, ObjectKey key, Record value) {
@@ -118,5 +118,5 @@
                 .build();
     }
 
-    private record Loaded(ConfigState state, ConfigSnapshot snapshot) {}
+    private record LoadedConfig(ConfigState state, ConfigSnapshot snapshot) {}
 }
--- a/agatelane-lab/src/main/java/io/agatelane/lab/capacity/Heap.java
+++ b/agatelane-lab/src/main/java/io/agatelane/lab/capacity/Heap.java
@@ -2,13 +2,13 @@
 
 import java.util.function.Supplier;
 
-/** Measures the memory that an object keeps alive. */
+/** Measures the heap memory that an object retains. */
 final class Heap {
-    private static final int COLLECTIONS = 4;
+    private static final int GC_RUNS = 4;
 
     private Heap() {}
 
-    /** An object with the bytes that it and all it refers to take. */
+    /** An object with the bytes that it and all objects reachable from it use. */
     record Measured<T>(T value, long bytes) {}
 
     /** Builds an object and compares the used heap before and after. */
@@ -21,7 +21,7 @@
 
     private static long usedBytes() {
         Runtime runtime = Runtime.getRuntime();
-        for (int i = 0; i < COLLECTIONS; i++) {
+        for (int i = 0; i < GC_RUNS; i++) {
             System.gc();
         }
         return runtime.totalMemory() - runtime.freeMemory();
--- a/agatelane-lab/src/main/java/io/agatelane/lab/capacity/RoutingSlope.java
+++ b/agatelane-lab/src/main/java/io/agatelane/lab/capacity/RoutingGrowth.java
@@ -14,20 +14,20 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Memory of the load table and processor time of a decision by the number of upstreams. */
-final class RoutingSlope {
-    private static final int[] UPSTREAMS = {8, 800, 7_200};
+/** Measures memory of the upstream states and time of a routing decision by the number of upstreams. */
+final class RoutingGrowth {
+    private static final int[] UPSTREAM_COUNTS = {8, 800, 7_200};
     private static final int MODELS = 7;
     private static final int ZONES = 22;
     private static final int DECISIONS = 200_000;
     private static final int HINT_BITS = 16;
     private static final int PROFILES = 512;
 
-    private RoutingSlope() {}
+    private RoutingGrowth() {}
 
     static String run() {
         Table table = new Table("upstreams", "heap, bytes", "heap per upstream, bytes", "decision, us", "hint, us");
-        for (int upstreams : UPSTREAMS) {
+        for (int upstreams : UPSTREAM_COUNTS) {
             Heap.Measured<List<UpstreamState>> states = Heap.measure(() -> states(upstreams));
             ModelFleet fleet = new ModelFleet("model-0", "w1", states.value(), "zone-0");
             HintTable hints = new HintTable(HINT_BITS);
--- a/agatelane-lab/src/main/java/io/agatelane/lab/capacity/package-info.java
+++ b/agatelane-lab/src/main/java/io/agatelane/lab/capacity/package-info.java
@@ -1,2 +1,2 @@
-/** Measures how memory, bytes and processor time of a router's control grow with the sizes of a deployment. */
+/** Measures how memory, bytes and processor time of a router grow with the size of a deployment. */
 package io.agatelane.lab.capacity;
