--- a/agatelane-cli/src/main/java/io/agatelane/cli/FleetProcess.java
+++ b/agatelane-cli/src/main/java/io/agatelane/cli/FleetProcess.java
@@ -3,7 +3,7 @@
 import io.agatelane.node.cfg.FleetSettings;
 import io.agatelane.node.cfg.FleetSettingsReader;
 import io.agatelane.node.fleet.FleetNode;
-import io.agatelane.node.fleet.SettingsWatch;
+import io.agatelane.node.fleet.SettingsReloader;
 import io.agatelane.node.util.BoundedLogHandler;
 import io.agatelane.platform.UserPlatform;
 import java.nio.file.Path;
@@ -24,7 +24,7 @@
         FleetSettings settings = FleetSettingsReader.read(file);
         BoundedLogHandler log = configureLogging();
         FleetNode node = FleetNode.start(settings, new UserPlatform());
-        SettingsWatch reloader = new SettingsWatch(file, settings, node::apply);
+        SettingsReloader reloader = new SettingsReloader(file, settings, node::apply);
         reloader.start(node.timers());
         HangupSignal.onSignal(() -> reloader.reload("signal"));
         Thread shutdown = new Thread(
--- a/agatelane-core/src/main/java/io/agatelane/core/booking/Booking.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/booking/Booking.java
@@ -6,7 +6,7 @@
  * Recorded state of one booking.
  *
  * @param requestDigest hexadecimal digest of method, path and body
- * @param answer present for a finished booking whose response is short enough to be stored in the segment
+ * @param response present for a finished booking whose response is short enough to be stored in the segment
  * @param claimedEpochMillis wall-clock time of the claim, at which the retention time begins
  */
 public record Booking(
@@ -14,7 +14,7 @@
         AttemptId attempt,
         String requestDigest,
         BookingState state,
-        Optional<Answer> answer,
+        Optional<ServiceResponse> response,
         long claimedEpochMillis) {
     /** Returns a booking that an attempt has just claimed. */
     public static Booking claimed(BookingKey key, AttemptId attempt, String requestDigest, long epochMillis) {
@@ -22,7 +22,7 @@
     }
 
     /** Returns the finished booking; pass an empty response when it is stored under its own key. */
-    public Booking withFinished(Optional<Answer> newResponse) {
+    public Booking withFinished(Optional<ServiceResponse> newResponse) {
         return new Booking(key, attempt, requestDigest, BookingState.FINISHED, newResponse, claimedEpochMillis);
     }
 
--- a/agatelane-core/src/main/java/io/agatelane/core/booking/BookingRules.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/booking/BookingLimits.java
@@ -15,7 +15,7 @@
  * @param inquiryPauseMillis shortest time between two inquiries about the same booking
  * @param outagePauseMillis time from a failed platform call to the next one; claims are refused until one succeeds
  */
-public record BookingRules(
+public record BookingLimits(
         long groupCommitMillis,
         long outcomeCommitMillis,
         int sealBytes,
@@ -26,6 +26,6 @@
         long inquiryPauseMillis,
         long outagePauseMillis) {
     /** The limits that routers use. */
-    public static final BookingRules DEFAULT =
-            new BookingRules(5, 100, 64 << 10, 512 << 10, 16 << 10, 1 << 20, 24L * 3_600_000, 1_000, 500);
+    public static final BookingLimits DEFAULT =
+            new BookingLimits(5, 100, 64 << 10, 512 << 10, 16 << 10, 1 << 20, 24L * 3_600_000, 1_000, 500);
 }
--- a/agatelane-core/src/main/java/io/agatelane/core/booking/Outcome.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/booking/Outcome.java
@@ -3,7 +3,7 @@
 import java.util.Optional;
 
 /** How an attempt ended, with the response if the call ran. */
-public record Outcome(Kind kind, Optional<Answer> answer) {
+public record Outcome(Kind kind, Optional<ServiceResponse> response) {
     /**
      * Ways in which an attempt ends, ordered from the least to the most certain; a later one replaces an earlier one.
      */
@@ -13,7 +13,7 @@
         /** The claimant did not send the call and never will, so another attempt may run it. */
         RELEASED,
         /** The call ran and its response is known. */
-        ANSWERED
+        FINISHED
     }
 
     public static Outcome unknown() {
@@ -24,7 +24,7 @@
         return new Outcome(Kind.RELEASED, Optional.empty());
     }
 
-    public static Outcome answered(Answer answer) {
-        return new Outcome(Kind.ANSWERED, Optional.of(answer));
+    public static Outcome finished(ServiceResponse response) {
+        return new Outcome(Kind.FINISHED, Optional.of(response));
     }
 }
--- a/agatelane-core/src/main/java/io/agatelane/core/booking/Answer.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/booking/ServiceResponse.java
@@ -4,13 +4,13 @@
 import java.util.Objects;
 
 /** Complete response of a service, stored so that a caller that retries receives the same response. */
-public final class Answer {
+public final class ServiceResponse {
     private final int status;
     private final String contentType;
     private final byte[] body;
 
     /** Keeps a reference to the array, which the caller must not change afterwards. */
-    public Answer(int status, String contentType, byte[] body) {
+    public ServiceResponse(int status, String contentType, byte[] body) {
         this.status = status;
         this.contentType = Objects.requireNonNull(contentType);
         this.body = Objects.requireNonNull(body);
@@ -32,7 +32,7 @@
 
     @Override
     public boolean equals(Object other) {
-        return other instanceof Answer that
+        return other instanceof ServiceResponse that
                 && status == that.status
                 && contentType.equals(that.contentType)
                 && Arrays.equals(body, that.body);
--- a/agatelane-core/src/main/java/io/agatelane/core/booking/command/BatchBuilder.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/booking/command/BatchBuilder.java
@@ -1,13 +1,13 @@
 package io.agatelane.core.booking.command;
 
-import io.agatelane.core.booking.Answer;
 import io.agatelane.core.booking.Booking;
 import io.agatelane.core.booking.BookingKey;
-import io.agatelane.core.booking.BookingRules;
+import io.agatelane.core.booking.BookingLimits;
 import io.agatelane.core.booking.BookingState;
 import io.agatelane.core.booking.Outcome;
 import io.agatelane.core.booking.SealedRef;
 import io.agatelane.core.booking.Segment;
+import io.agatelane.core.booking.ServiceResponse;
 import io.agatelane.core.booking.query.SegmentSize;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -17,16 +17,16 @@
 
 /** Builds the content of one compare-and-swap: the next open segment and, if it is due, a sealed one. */
 final class BatchBuilder {
-    private final BookingRules limits;
+    private final BookingLimits limits;
     private final BookingTable table;
-    private final Now now;
+    private final EventTime now;
     private final Batch batch = new Batch();
     private final Map<BookingKey, Booking> entries = new LinkedHashMap<>();
     private final List<SealedRef> sealedRefs = new ArrayList<>();
     private int sizeBytes;
     private boolean changed;
 
-    BatchBuilder(BookingRules limits, BookingTable table, Now now) {
+    BatchBuilder(BookingLimits limits, BookingTable table, EventTime now) {
         this.limits = limits;
         this.table = table;
         this.now = now;
@@ -131,16 +131,16 @@
     private Optional<Booking> apply(BookingKey key, Booking booking, PendingOutcome pending) {
         if (booking == null) {
             return PendingOutcomes.entryWithoutBooking(key, pending, now.epochMillis())
-                    .map(added -> added.answer().isPresent()
-                            ? added.withFinished(inlineIfShort(added.answer().get()))
+                    .map(added -> added.response().isPresent()
+                            ? added.withFinished(inlineIfShort(added.response().get()))
                             : added);
         }
         if (booking.state() == BookingState.FINISHED || !booking.attempt().equals(pending.attempt)) {
             return Optional.of(booking);
         }
-        if (pending.outcome.kind() == Outcome.Kind.ANSWERED) {
-            return Optional.of(
-                    booking.withFinished(inlineIfShort(pending.outcome.answer().orElseThrow())));
+        if (pending.outcome.kind() == Outcome.Kind.FINISHED) {
+            return Optional.of(booking.withFinished(
+                    inlineIfShort(pending.outcome.response().orElseThrow())));
         }
         if (pending.outcome.kind() == Outcome.Kind.RELEASED) {
             // An entry of a sealed segment cannot be removed, only overridden; its outcome stays unknown.
@@ -149,7 +149,7 @@
         return Optional.of(booking.state() == BookingState.CLAIMED ? booking.withOutcomeUnknown() : booking);
     }
 
-    private Optional<Answer> inlineIfShort(Answer response) {
+    private Optional<ServiceResponse> inlineIfShort(ServiceResponse response) {
         return Optional.of(response).filter(value -> value.body().length <= limits.inlineResponseBytes());
     }
 
--- a/agatelane-core/src/main/java/io/agatelane/core/booking/command/BookingTable.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/booking/command/BookingTable.java
@@ -1,12 +1,12 @@
 package io.agatelane.core.booking.command;
 
-import io.agatelane.core.booking.Answer;
 import io.agatelane.core.booking.AttemptId;
 import io.agatelane.core.booking.Booking;
 import io.agatelane.core.booking.BookingKey;
 import io.agatelane.core.booking.LoadedPartition;
 import io.agatelane.core.booking.SealedRef;
 import io.agatelane.core.booking.Segment;
+import io.agatelane.core.booking.ServiceResponse;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
@@ -23,7 +23,7 @@
     private final Map<BookingKey, Booking> open = new LinkedHashMap<>();
     private final Map<String, Segment> sealedSegments = new LinkedHashMap<>();
     private final Map<BookingKey, Booking> sealedBookings = new HashMap<>();
-    private final Map<AttemptId, Answer> longResponses = new LinkedHashMap<>();
+    private final Map<AttemptId, ServiceResponse> longResponses = new LinkedHashMap<>();
     private List<SealedRef> sealedRefs = List.of();
     private int longResponseBytes;
     private long number;
@@ -107,15 +107,15 @@
     }
 
     /** Returns the response of a finished booking if it is in memory, else null. */
-    Answer response(Booking booking) {
-        return booking.answer().orElseGet(() -> longResponses.get(booking.attempt()));
+    ServiceResponse response(Booking booking) {
+        return booking.response().orElseGet(() -> longResponses.get(booking.attempt()));
     }
 
     /**
      * Caches a long response. The oldest ones are evicted while the total exceeds the limit; the newest one always
      * stays.
      */
-    void cacheResponse(AttemptId attempt, Answer response) {
+    void cacheResponse(AttemptId attempt, ServiceResponse response) {
         if (longResponses.putIfAbsent(attempt, response) != null) {
             return;
         }
--- a/agatelane-core/src/main/java/io/agatelane/core/booking/command/Effect.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/booking/command/Effect.java
@@ -1,9 +1,9 @@
 package io.agatelane.core.booking.command;
 
-import io.agatelane.core.booking.Answer;
 import io.agatelane.core.booking.AttemptId;
 import io.agatelane.core.booking.BookingKey;
 import io.agatelane.core.booking.Segment;
+import io.agatelane.core.booking.ServiceResponse;
 import io.agatelane.core.booking.Verdict;
 import java.util.List;
 import java.util.Optional;
@@ -32,7 +32,7 @@
     record SealedWrite(String name, Segment segment) {}
 
     /** Sends the event {@code commitDue} after a delay. */
-    record CommitSoon(long delayMillis) implements Effect {}
+    record ScheduleCommit(long delayMillis) implements Effect {}
 
     /**
      * Replies to a claim.
@@ -40,7 +40,7 @@
      * @param claimant the attempt that holds the claim; for {@code UNAVAILABLE}, and for {@code UNKNOWN} during an
      *     outage, the requesting attempt if its claim may have been written
      */
-    record Reply(long ticket, Verdict verdict, Optional<AttemptId> claimant, Optional<Answer> answer)
+    record Reply(long ticket, Verdict verdict, Optional<AttemptId> claimant, Optional<ServiceResponse> response)
             implements Effect {}
 
     /** Reports to the claimant whether its outcome is recorded. */
@@ -50,13 +50,13 @@
     record QueryClaimant(BookingKey key, AttemptId attempt) implements Effect {}
 
     /** Queries the service for whether the call ran; the result goes back as an event. */
-    record CallStatus(BookingKey key, AttemptId attempt) implements Effect {}
+    record QueryServiceStatus(BookingKey key, AttemptId attempt) implements Effect {}
 
     /** Writes a long response under its own key; the result goes back as an event. */
-    record StoreAnswer(BookingKey key, AttemptId attempt, Answer answer) implements Effect {}
+    record StoreResponse(BookingKey key, AttemptId attempt, ServiceResponse response) implements Effect {}
 
     /** Reads a long response, which goes back as an event. */
-    record LoadAnswer(BookingKey key, AttemptId attempt) implements Effect {}
+    record LoadResponse(BookingKey key, AttemptId attempt) implements Effect {}
 
     /** Deletes sealed segments whose retention time has ended, and the long responses to which they refer. */
     record DeleteSealed(List<String> names) implements Effect {}
--- a/agatelane-core/src/main/java/io/agatelane/core/booking/command/Now.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/booking/command/EventTime.java
@@ -6,4 +6,4 @@
  * @param monotonicMillis monotonic time, for durations within this process
  * @param epochMillis wall-clock time, only for stored time stamps
  */
-public record Now(long monotonicMillis, long epochMillis) {}
+public record EventTime(long monotonicMillis, long epochMillis) {}
--- a/agatelane-core/src/main/java/io/agatelane/core/booking/command/PartitionMachine.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/booking/command/PartitionMachine.java
@@ -1,14 +1,14 @@
 package io.agatelane.core.booking.command;
 
-import io.agatelane.core.booking.Answer;
 import io.agatelane.core.booking.AttemptId;
 import io.agatelane.core.booking.Booking;
 import io.agatelane.core.booking.BookingKey;
-import io.agatelane.core.booking.BookingRules;
+import io.agatelane.core.booking.BookingLimits;
 import io.agatelane.core.booking.BookingState;
 import io.agatelane.core.booking.ClaimantState;
 import io.agatelane.core.booking.LoadedPartition;
 import io.agatelane.core.booking.Outcome;
+import io.agatelane.core.booking.ServiceResponse;
 import io.agatelane.core.booking.Verdict;
 import io.agatelane.core.booking.query.ClaimDecision;
 import java.util.ArrayList;
@@ -26,7 +26,7 @@
     /** Ticket of an outcome for which no reply is expected. */
     public static final long NO_TICKET = -1;
 
-    private final BookingRules limits;
+    private final BookingLimits limits;
     private final String writerPrefix;
     private final BookingTable table;
     private final Inquiries inquiries;
@@ -46,12 +46,8 @@
     private boolean outage;
     private long commitCount;
 
-    /**
-     * Creates the machine of a partition that has not been read.
-     *
-     * @param writerPrefix unique to this start of the process; names the commits
-     */
-    public PartitionMachine(BookingRules limits, String writerPrefix) {
+    /** Creates the machine of an unread partition; the prefix names the commits and is unique to this process start. */
+    public PartitionMachine(BookingLimits limits, String writerPrefix) {
         this.limits = limits;
         this.writerPrefix = writerPrefix;
         this.table = new BookingTable(limits.retentionMillis(), limits.responseCacheBytes());
@@ -60,7 +56,7 @@
     }
 
     /** Event: the router became the owner. The state in memory may be stale and is read again. */
-    public List<Effect> ownershipGained(Now now) {
+    public List<Effect> ownershipGained(EventTime now) {
         loadedAsOwner = false;
         loadNeeded = true;
         continueWork(now);
@@ -68,7 +64,7 @@
     }
 
     /** Event: a router requests the claim of a booking. */
-    public List<Effect> claim(Now now, long ticket, BookingKey key, AttemptId attempt, String requestDigest) {
+    public List<Effect> claim(EventTime now, long ticket, BookingKey key, AttemptId attempt, String requestDigest) {
         PendingClaim claim = new PendingClaim(ticket, key, attempt, requestDigest);
         claims.put(ticket, claim);
         evaluate(now, claim);
@@ -76,7 +72,7 @@
     }
 
     /** Event: the longest time for which a claim may wait has passed. */
-    public List<Effect> waitExpired(Now now, long ticket) {
+    public List<Effect> waitExpired(EventTime now, long ticket) {
         PendingClaim claim = claims.get(ticket);
         if (claim != null) {
             List<PendingClaim> sameBooking = waiting.get(claim.key);
@@ -94,20 +90,20 @@
     }
 
     /** Event: a claimant reports how its attempt ended. */
-    public List<Effect> outcome(Now now, long ticket, BookingKey key, AttemptId attempt, Outcome outcome) {
+    public List<Effect> outcome(EventTime now, long ticket, BookingKey key, AttemptId attempt, Outcome outcome) {
         addOutcome(now, ticket, key, attempt, outcome);
         return takeEffects();
     }
 
     /** Event: the delay that collects claims and outcomes into one commit, or follows a failure, has passed. */
-    public List<Effect> commitDue(Now now) {
+    public List<Effect> commitDue(EventTime now) {
         commitScheduled = false;
         continueWork(now);
         return takeEffects();
     }
 
     /** Event: the partition was read. A revision lower than the known one means that the platform was restored. */
-    public List<Effect> loaded(Now now, LoadedPartition partition) {
+    public List<Effect> loaded(EventTime now, LoadedPartition partition) {
         if (partition.revision() < table.revision()) {
             outcomes.addUnrecorded(table, now.epochMillis());
             outcomesDueMillis = now.monotonicMillis();
@@ -138,7 +134,7 @@
     }
 
     /** Event: the partition could not be read. */
-    public List<Effect> loadFailed(Now now) {
+    public List<Effect> loadFailed(EventTime now) {
         loading = false;
         platformFailed(now);
         inquiries.waitingForReload().forEach(key -> queryService(now, key));
@@ -146,7 +142,7 @@
     }
 
     /** Event: the compare-and-swap took effect, and the open segment now has this revision. */
-    public List<Effect> swapWon(Now now, long revision) {
+    public List<Effect> swapSucceeded(EventTime now, long revision) {
         batch.sealed.ifPresent(write -> table.addSealed(write.name(), write.segment()));
         table.replaceOpenSegment(revision, batch.open);
         outage = false;
@@ -157,7 +153,7 @@
     }
 
     /** Event: the compare-and-swap had no effect, because another router had changed the open segment. */
-    public List<Effect> swapLost(Now now) {
+    public List<Effect> swapConflicted(EventTime now) {
         requeueBatch();
         loadNeeded = true;
         continueWork(now);
@@ -165,13 +161,13 @@
     }
 
     /** Event: the compare-and-swap had no effect, because the platform is unavailable. */
-    public List<Effect> swapRefused(Now now) {
+    public List<Effect> swapFailedByOutage(EventTime now) {
         platformFailed(now);
         return takeEffects();
     }
 
     /** Event: it is not known whether the compare-and-swap took effect; the partition is read again to find out. */
-    public List<Effect> swapUnknown(Now now) {
+    public List<Effect> swapOutcomeUnknown(EventTime now) {
         batch.allClaims().forEach(claim -> claim.maybeWritten = true);
         loadNeeded = true;
         startLoad();
@@ -179,15 +175,15 @@
     }
 
     /** Event: the claimant reported the state of an attempt, or the membership reported that the claimant is dead. */
-    public List<Effect> claimantAnswered(
-            Now now, BookingKey key, AttemptId attempt, ClaimantState state, Optional<Answer> response) {
+    public List<Effect> claimantReported(
+            EventTime now, BookingKey key, AttemptId attempt, ClaimantState state, Optional<ServiceResponse> response) {
         if (!inquiries.isAt(key, attempt, Inquiries.Stage.CLAIMANT)) {
             return takeEffects();
         }
         switch (state) {
             case FINISHED -> {
                 inquiries.end(key, now.monotonicMillis());
-                addOutcome(now, NO_TICKET, key, attempt, Outcome.answered(response.orElseThrow()));
+                addOutcome(now, NO_TICKET, key, attempt, Outcome.finished(response.orElseThrow()));
             }
             case NEVER_SENT -> {
                 inquiries.end(key, now.monotonicMillis());
@@ -204,11 +200,12 @@
     }
 
     /** Event: the service reported whether the call ran; an empty response means that this is not known. */
-    public List<Effect> statusAnswered(Now now, BookingKey key, AttemptId attempt, Optional<Answer> response) {
+    public List<Effect> statusReceived(
+            EventTime now, BookingKey key, AttemptId attempt, Optional<ServiceResponse> response) {
         if (inquiries.isAt(key, attempt, Inquiries.Stage.STATUS)) {
             inquiries.end(key, now.monotonicMillis());
             if (response.isPresent()) {
-                addOutcome(now, NO_TICKET, key, attempt, Outcome.answered(response.get()));
+                addOutcome(now, NO_TICKET, key, attempt, Outcome.finished(response.get()));
             } else {
                 reevaluateWaiting(now, key);
             }
@@ -217,7 +214,7 @@
     }
 
     /** Event: a long response was written, or the write failed. */
-    public List<Effect> answerStored(Now now, BookingKey key, AttemptId attempt, boolean stored) {
+    public List<Effect> responseStored(EventTime now, BookingKey key, AttemptId attempt, boolean stored) {
         PendingOutcome pending = outcomes.get(key);
         if (pending != null && pending.attempt.equals(attempt)) {
             if (stored) {
@@ -231,7 +228,7 @@
     }
 
     /** Event: a long response was read; empty when it could not be read. */
-    public List<Effect> answerLoaded(Now now, AttemptId attempt, Optional<Answer> response) {
+    public List<Effect> responseLoaded(EventTime now, AttemptId attempt, Optional<ServiceResponse> response) {
         response.ifPresent(value -> table.cacheResponse(attempt, value));
         List<PendingClaim> waiters = waitingForResponse.remove(attempt);
         if (waiters != null) {
@@ -242,7 +239,7 @@
     }
 
     /** Event: about once a second. Repeats inquiries for claims that wait, and writes that failed. */
-    public List<Effect> tick(Now now) {
+    public List<Effect> tick(EventTime now) {
         inquiries.removeExpired(now.monotonicMillis());
         for (BookingKey key : List.copyOf(waiting.keySet())) {
             Booking booking = find(key, now);
@@ -276,11 +273,11 @@
     }
 
     // Returns the recorded state with the outcomes applied that are known here and not yet recorded.
-    private Booking find(BookingKey key, Now now) {
+    private Booking find(BookingKey key, EventTime now) {
         return outcomes.applyTo(key, table.find(key, now.epochMillis()), now.epochMillis());
     }
 
-    private void evaluate(Now now, PendingClaim claim) {
+    private void evaluate(EventTime now, PendingClaim claim) {
         Booking booking = find(claim.key, now);
         boolean finished = booking != null && booking.state() == BookingState.FINISHED;
         if (loadNeeded && !finished) {
@@ -317,13 +314,13 @@
         }
     }
 
-    private void await(Now now, PendingClaim claim, Booking booking) {
+    private void await(EventTime now, PendingClaim claim, Booking booking) {
         waiting.computeIfAbsent(claim.key, unused -> new ArrayList<>()).add(claim);
         inquire(now, booking);
     }
 
     private void replyFinished(PendingClaim claim, Booking booking) {
-        Answer response = table.response(booking);
+        ServiceResponse response = table.response(booking);
         if (response != null) {
             reply(claim, Verdict.FINISHED, Optional.of(booking.attempt()), Optional.of(response));
             return;
@@ -332,12 +329,13 @@
         if (waiters == null) {
             waiters = new ArrayList<>();
             waitingForResponse.put(booking.attempt(), waiters);
-            effects.add(new Effect.LoadAnswer(claim.key, booking.attempt()));
+            effects.add(new Effect.LoadResponse(claim.key, booking.attempt()));
         }
         waiters.add(claim);
     }
 
-    private void reply(PendingClaim claim, Verdict verdict, Optional<AttemptId> claimant, Optional<Answer> response) {
+    private void reply(
+            PendingClaim claim, Verdict verdict, Optional<AttemptId> claimant, Optional<ServiceResponse> response) {
         if (!claim.replied) {
             claim.replied = true;
             claims.remove(claim.ticket);
@@ -355,7 +353,7 @@
         reply(claim, Verdict.UNKNOWN, claim.attemptIfMaybeWritten(), Optional.empty());
     }
 
-    private void addOutcome(Now now, long ticket, BookingKey key, AttemptId attempt, Outcome outcome) {
+    private void addOutcome(EventTime now, long ticket, BookingKey key, AttemptId attempt, Outcome outcome) {
         boolean added = outcomes.add(key, attempt, outcome);
         PendingOutcome pending = outcomes.get(key);
         if (added && !pending.writable) {
@@ -381,9 +379,9 @@
     }
 
     private void storeResponse(BookingKey key, PendingOutcome pending) {
-        Answer response = pending.outcome.answer().orElseThrow();
+        ServiceResponse response = pending.outcome.response().orElseThrow();
         table.cacheResponse(pending.attempt, response);
-        effects.add(new Effect.StoreAnswer(key, pending.attempt, response));
+        effects.add(new Effect.StoreResponse(key, pending.attempt, response));
     }
 
     private void dropQueued(AttemptId attempt) {
@@ -400,14 +398,14 @@
         pending.tickets.clear();
     }
 
-    private void reevaluateWaiting(Now now, BookingKey key) {
+    private void reevaluateWaiting(EventTime now, BookingKey key) {
         List<PendingClaim> waiters = waiting.remove(key);
         if (waiters != null) {
             waiters.forEach(claim -> evaluate(now, claim));
         }
     }
 
-    private void reevaluateAll(Now now) {
+    private void reevaluateAll(EventTime now) {
         // These claims have already waited, so they are committed without another delay.
         reevaluating = true;
         List<PendingClaim> requeued = queued;
@@ -417,19 +415,19 @@
         reevaluating = false;
     }
 
-    private void scheduleClaims(Now now) {
+    private void scheduleClaims(EventTime now) {
         if (loadNeeded || batch != null || loading) {
             continueWork(now);
         } else if (!commitScheduled && !reevaluating) {
             commitScheduled = true;
-            effects.add(new Effect.CommitSoon(limits.groupCommitMillis()));
+            effects.add(new Effect.ScheduleCommit(limits.groupCommitMillis()));
         }
     }
 
-    private void scheduleOutcomes(Now now) {
+    private void scheduleOutcomes(EventTime now) {
         if (outcomesDueMillis == Long.MAX_VALUE) {
             outcomesDueMillis = now.monotonicMillis() + limits.outcomeCommitMillis();
-            effects.add(new Effect.CommitSoon(limits.outcomeCommitMillis()));
+            effects.add(new Effect.ScheduleCommit(limits.outcomeCommitMillis()));
         }
         if (loadNeeded && !outage) {
             continueWork(now);
@@ -437,7 +435,7 @@
     }
 
     // Starts the next store call if one is due and none is running.
-    private void continueWork(Now now) {
+    private void continueWork(EventTime now) {
         if (batch != null || loading) {
             return;
         }
@@ -458,7 +456,7 @@
         }
     }
 
-    private void startCommit(Now now) {
+    private void startCommit(EventTime now) {
         BatchBuilder builder = new BatchBuilder(limits, table, now);
         outcomesDueMillis = Long.MAX_VALUE;
         for (Map.Entry<BookingKey, PendingOutcome> entry : outcomes.all().entrySet()) {
@@ -523,10 +521,10 @@
         queued = requeued;
     }
 
-    private void platformFailed(Now now) {
+    private void platformFailed(EventTime now) {
         outage = true;
         loadNeeded = true;
-        effects.add(new Effect.CommitSoon(limits.outagePauseMillis()));
+        effects.add(new Effect.ScheduleCommit(limits.outagePauseMillis()));
         if (batch != null) {
             requeueBatch();
         }
@@ -543,13 +541,13 @@
         outcomesDueMillis = outcomes.isEmpty() ? Long.MAX_VALUE : now.monotonicMillis();
     }
 
-    private void inquire(Now now, Booking booking) {
+    private void inquire(EventTime now, Booking booking) {
         if (inquiries.begin(booking.key(), booking.attempt(), now.monotonicMillis())) {
             effects.add(new Effect.QueryClaimant(booking.key(), booking.attempt()));
         }
     }
 
-    private void reloadForInquiry(Now now, BookingKey key) {
+    private void reloadForInquiry(EventTime now, BookingKey key) {
         if (outage) {
             queryService(now, key);
             return;
@@ -561,7 +559,7 @@
 
     // The claimant forgets an attempt only after its outcome is recorded, so the state GONE is final only if the claim
     // is still open in a segment that was read afterwards.
-    private void inquireAfterReload(Now now, BookingKey key) {
+    private void inquireAfterReload(EventTime now, BookingKey key) {
         Booking booking = find(key, now);
         boolean claimOpen = booking != null
                 && booking.state() != BookingState.FINISHED
@@ -573,17 +571,17 @@
         }
     }
 
-    private void queryService(Now now, BookingKey key) {
+    private void queryService(EventTime now, BookingKey key) {
         AttemptId attempt = inquiries.attempt(key);
         Booking booking = find(key, now);
         if (booking != null && booking.state() == BookingState.CLAIMED) {
             addOutcome(now, NO_TICKET, key, attempt, Outcome.unknown());
         }
         inquiries.moveTo(key, Inquiries.Stage.STATUS);
-        effects.add(new Effect.CallStatus(key, attempt));
+        effects.add(new Effect.QueryServiceStatus(key, attempt));
     }
 
-    private void endWithoutResult(Now now, BookingKey key, AttemptId attempt, ClaimantState state) {
+    private void endWithoutResult(EventTime now, BookingKey key, AttemptId attempt, ClaimantState state) {
         Booking booking = find(key, now);
         boolean unknown = booking != null
                 && booking.state() == BookingState.OUTCOME_UNKNOWN
--- a/agatelane-core/src/main/java/io/agatelane/core/booking/command/PendingOutcomes.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/booking/command/PendingOutcomes.java
@@ -1,11 +1,11 @@
 package io.agatelane.core.booking.command;
 
-import io.agatelane.core.booking.Answer;
 import io.agatelane.core.booking.AttemptId;
 import io.agatelane.core.booking.Booking;
 import io.agatelane.core.booking.BookingKey;
 import io.agatelane.core.booking.BookingState;
 import io.agatelane.core.booking.Outcome;
+import io.agatelane.core.booking.ServiceResponse;
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.Optional;
@@ -50,7 +50,7 @@
         if (!moreCertain) {
             return false;
         }
-        boolean inline = outcome.answer()
+        boolean inline = outcome.response()
                 .map(value -> value.body().length <= inlineResponseBytes)
                 .orElse(true);
         PendingOutcome pending = new PendingOutcome(attempt, outcome, inline);
@@ -79,7 +79,7 @@
             return booking;
         }
         return switch (pending.outcome.kind()) {
-            case ANSWERED -> booking.withFinished(pending.outcome.answer());
+            case FINISHED -> booking.withFinished(pending.outcome.response());
             case RELEASED -> null;
             case UNKNOWN -> booking.withOutcomeUnknown();
         };
@@ -92,7 +92,7 @@
     static Optional<Booking> entryWithoutBooking(BookingKey key, PendingOutcome pending, long nowEpochMillis) {
         Booking booking = Booking.claimed(key, pending.attempt, "", nowEpochMillis);
         return switch (pending.outcome.kind()) {
-            case ANSWERED -> Optional.of(booking.withFinished(pending.outcome.answer()));
+            case FINISHED -> Optional.of(booking.withFinished(pending.outcome.response()));
             case UNKNOWN -> Optional.of(booking.withOutcomeUnknown());
             case RELEASED -> Optional.empty();
         };
@@ -104,8 +104,8 @@
      */
     void addUnrecorded(BookingTable table, long nowEpochMillis) {
         for (Booking booking : table.allBookings(nowEpochMillis)) {
-            Answer response = booking.state() == BookingState.FINISHED ? table.response(booking) : null;
-            add(booking.key(), booking.attempt(), response == null ? Outcome.unknown() : Outcome.answered(response));
+            ServiceResponse response = booking.state() == BookingState.FINISHED ? table.response(booking) : null;
+            add(booking.key(), booking.attempt(), response == null ? Outcome.unknown() : Outcome.finished(response));
         }
     }
 }
--- a/agatelane-core/src/main/java/io/agatelane/core/booking/query/SegmentSize.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/booking/query/SegmentSize.java
@@ -15,7 +15,7 @@
 
     /** Returns the estimated size in bytes of one entry. */
     public static int of(Booking booking) {
-        int responseBytes = booking.answer()
+        int responseBytes = booking.response()
                 .map(response -> response.body().length + response.contentType().length())
                 .orElse(0);
         return FIXED_BYTES
--- a/agatelane-core/src/main/java/io/agatelane/core/config/command/HeadVerdict.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/config/command/HeadRelation.java
@@ -1,7 +1,7 @@
 package io.agatelane.core.config.command;
 
 /** Relation of a head that was read to the configuration state that the reader already has. */
-public enum HeadVerdict {
+public enum HeadRelation {
     /** The head is that of the reader's state. */
     CURRENT,
     /** The head continues the history of the reader's state. */
--- a/agatelane-core/src/main/java/io/agatelane/core/config/command/ForwardReader.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/config/command/MonotonicConfig.java
@@ -9,7 +9,7 @@
  * Holds the newest configuration state that a router has received. It moves only to newer states of the same history,
  * also when the platform was restored to an older one. Not thread-safe.
  */
-public final class ForwardReader {
+public final class MonotonicConfig {
     private ConfigState state = ConfigState.empty();
 
     public ConfigState state() {
@@ -17,23 +17,23 @@
     }
 
     /** Compares a head with the head of the current state. */
-    public HeadVerdict assess(Head head) {
+    public HeadRelation assess(Head head) {
         Head current = state.head();
         if (head.revision() < current.revision()) {
-            return continues(current, head) ? HeadVerdict.REGRESSED : HeadVerdict.DIVERGED;
+            return continues(current, head) ? HeadRelation.REGRESSED : HeadRelation.DIVERGED;
         }
         if (head.revision() == current.revision()) {
             boolean same = head.shardVersions().equals(current.shardVersions())
                     && head.shardChecksums().equals(current.shardChecksums())
                     && head.changeAt(head.revision()).equals(current.changeAt(current.revision()));
-            return same ? HeadVerdict.CURRENT : HeadVerdict.DIVERGED;
+            return same ? HeadRelation.CURRENT : HeadRelation.DIVERGED;
         }
-        return continues(head, current) ? HeadVerdict.NEWER : HeadVerdict.DIVERGED;
+        return continues(head, current) ? HeadRelation.NEWER : HeadRelation.DIVERGED;
     }
 
     /** Moves to a newer state. Returns false and changes nothing when it does not continue the current state. */
     public boolean advance(ConfigState newState) {
-        if (assess(newState.head()) != HeadVerdict.NEWER) {
+        if (assess(newState.head()) != HeadRelation.NEWER) {
             return false;
         }
         state = newState;
--- a/agatelane-core/src/main/java/io/agatelane/core/config/command/Rollout.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/config/command/RevisionWaits.java
@@ -14,7 +14,7 @@
  *
  * @param <T> type of the value that identifies a wait to the caller
  */
-public final class Rollout<T> {
+public final class RevisionWaits<T> {
     private final long queryAfterMillis;
     private final List<Wait<T>> waits = new ArrayList<>();
     private final Map<String, Long> confirmed = new HashMap<>();
@@ -25,7 +25,7 @@
      * @param queryAfterMillis duration of a wait after which routers whose gossip has not confirmed the revision are
      *     queried directly
      */
-    public Rollout(long queryAfterMillis) {
+    public RevisionWaits(long queryAfterMillis) {
         this.queryAfterMillis = queryAfterMillis;
     }
 
@@ -44,8 +44,8 @@
     }
 
     /** Removes the waits that are complete or have timed out, and determines which routers to query. */
-    public Step<T> evaluate(long nowMillis, Collection<RouterRevision> liveRouters) {
-        List<Ended<T>> ended = new ArrayList<>();
+    public Evaluation<T> evaluate(long nowMillis, Collection<RouterRevision> liveRouters) {
+        List<EndedWait<T>> ended = new ArrayList<>();
         TreeSet<String> toQuery = new TreeSet<>();
         for (Iterator<Wait<T>> iterator = waits.iterator(); iterator.hasNext(); ) {
             Wait<T> wait = iterator.next();
@@ -53,7 +53,7 @@
             long waitedMillis = nowMillis - wait.startMillis;
             if (routersBehind.isEmpty() || waitedMillis >= wait.waitMillis) {
                 iterator.remove();
-                ended.add(new Ended<>(wait.owner, routersBehind.isEmpty()));
+                ended.add(new EndedWait<>(wait.owner, routersBehind.isEmpty()));
             } else if (waitedMillis >= queryAfterMillis) {
                 toQuery.addAll(routersBehind);
             }
@@ -61,7 +61,7 @@
         if (waits.isEmpty()) {
             confirmed.clear();
         }
-        return new Step<>(ended, List.copyOf(toQuery));
+        return new Evaluation<>(ended, List.copyOf(toQuery));
     }
 
     private List<String> routersBehind(long revision, Collection<RouterRevision> liveRouters) {
@@ -77,14 +77,14 @@
     }
 
     /** Result of an evaluation: the waits that ended, and the names of the routers to query for their revision. */
-    public record Step<T>(List<Ended<T>> ended, List<String> routersToAsk) {}
+    public record Evaluation<T>(List<EndedWait<T>> ended, List<String> routersToQuery) {}
 
     /**
      * A wait that has ended.
      *
-     * @param everywhere true when the revision is in force on all live routers, false when the wait timed out
+     * @param inForceEverywhere true when the revision is in force on all live routers, false when the wait timed out
      */
-    public record Ended<T>(T owner, boolean everywhere) {}
+    public record EndedWait<T>(T owner, boolean inForceEverywhere) {}
 
     private record Wait<T>(T owner, long revision, long startMillis, long waitMillis) {}
 }
--- a/agatelane-core/src/main/java/io/agatelane/core/config/command/ShardRetention.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/config/command/ShardRetention.java
@@ -22,7 +22,7 @@
     private Set<String> unusedAtPreviousSweep = new HashSet<>();
 
     /** Records the versions that a new state no longer uses. */
-    public void replaced(ConfigState before, ConfigState after, long nowMillis) {
+    public void recordReplaced(ConfigState before, ConfigState after, long nowMillis) {
         for (int i = 0; i < ShardLayout.SHARDS; i++) {
             long version = before.shard(i).version();
             if (version != 0 && version != after.shard(i).version()) {
@@ -32,7 +32,7 @@
     }
 
     /** Removes and returns the store keys of versions whose retention time has ended. */
-    public List<String> takeDue(long nowMillis) {
+    public List<String> takeExpired(long nowMillis) {
         List<String> deletable = new ArrayList<>();
         while (!replaced.isEmpty() && nowMillis - replaced.peek().replacedMillis >= RETENTION_MILLIS) {
             deletable.add(replaced.poll().key);
--- a/agatelane-core/src/main/java/io/agatelane/core/config/query/WatcherChoice.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/config/query/RouterRanking.java
@@ -9,11 +9,11 @@
  * Chooses the routers that perform a task by rendezvous hashing, so that routers that see the same fleet agree without
  * exchanging messages.
  */
-public final class WatcherChoice {
+public final class RouterRanking {
     /** Number of routers in a region that watch the head. With two, the loss of one delays no update. */
     public static final int WATCHERS_PER_REGION = 2;
 
-    private WatcherChoice() {}
+    private RouterRanking() {}
 
     /** Returns the routers that watch the configuration head for a region, in rank order. */
     public static List<String> watchers(String region, Collection<String> liveRouters) {
--- a/agatelane-core/src/main/java/io/agatelane/core/fleet/ConfigProof.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/fleet/ClockReading.java
@@ -10,15 +10,15 @@
  * @param monotonicMillis monotonic time; for a read of the configuration, the time at which the read was sent
  * @param epochMillis wall-clock time of the same moment
  */
-public record ConfigProof(long monotonicMillis, long epochMillis) {
+public record ClockReading(long monotonicMillis, long epochMillis) {
     /** Whether another reading is later on both clocks. */
-    public boolean isOlderThan(ConfigProof other) {
+    public boolean isEarlierThan(ClockReading other) {
         return monotonicMillis < other.monotonicMillis && epochMillis < other.epochMillis;
     }
 
     /** Returns this reading moved back by an age on both clocks. */
-    public ConfigProof earlierBy(long ageMillis) {
-        return new ConfigProof(monotonicMillis - ageMillis, epochMillis - ageMillis);
+    public ClockReading earlierBy(long ageMillis) {
+        return new ClockReading(monotonicMillis - ageMillis, epochMillis - ageMillis);
     }
 
     /** Returns the age at a moment: the larger one of the ages by both clocks. */
--- a/agatelane-core/src/main/java/io/agatelane/core/fleet/FleetConfig.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/fleet/FleetConfig.java
@@ -77,7 +77,7 @@
     }
 
     /** Whether requests to routes that are not public need an API key. */
-    public boolean hasAccounts() {
+    public boolean requiresApiKey() {
         return hasAccounts;
     }
 
--- a/agatelane-core/src/main/java/io/agatelane/core/fleet/PeerLoad.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/fleet/PeerLoad.java
@@ -5,17 +5,18 @@
  *
  * @param upstream hash of the upstream's key
  * @param backlog prefill work of requests whose response has not started yet
- * @param silentMillis age of the oldest request whose response has not started yet
+ * @param oldestUnansweredMillis age of the oldest request whose response has not started yet
  * @param failures exponentially decayed number of recent failures
  */
-public record PeerLoad(long upstream, int inFlight, PrefillBacklog backlog, int silentMillis, double failures) {
+public record PeerLoad(
+        long upstream, int inFlight, PrefillBacklog backlog, int oldestUnansweredMillis, double failures) {
     /** Returns the difference of two loads, with no count below 0. */
     public PeerLoad minus(PeerLoad subtracted) {
         return new PeerLoad(
                 upstream,
                 Math.max(0, inFlight - subtracted.inFlight()),
                 backlog.minus(subtracted.backlog()),
-                silentMillis,
+                oldestUnansweredMillis,
                 Math.max(0, failures - subtracted.failures()));
     }
 }
--- a/agatelane-core/src/main/java/io/agatelane/core/fleet/PlacementIndex.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/fleet/PlacementIndex.java
@@ -58,7 +58,7 @@
     public record Placement(long part, long holder, int tokens) {}
 
     /** Records a use observed by this router and queues it for its peers. */
-    public synchronized void placed(Placement placement) {
+    public synchronized void recordLocal(Placement placement) {
         apply(placement);
         unsent.addLast(placement);
         if (unsent.size() > MAX_UNSENT_PLACEMENTS) {
@@ -67,7 +67,7 @@
     }
 
     /** Records a use that a peer has reported. */
-    public synchronized void heard(Placement placement) {
+    public synchronized void recordFromPeer(Placement placement) {
         apply(placement);
     }
 
--- a/agatelane-core/src/main/java/io/agatelane/core/fleet/PrefillBacklog.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/fleet/PrefillBacklog.java
@@ -72,7 +72,7 @@
     }
 
     /** Returns whole milliseconds by priority, without trailing zeros. */
-    public List<Integer> figures() {
+    public List<Integer> wholeMillisByPriority() {
         List<Integer> wholeMillis = new ArrayList<>();
         for (double value : millis) {
             wholeMillis.add((int) Math.round(value));
--- a/agatelane-core/src/main/java/io/agatelane/core/fleet/command/CrashSuspects.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/fleet/command/CrashSuspects.java
@@ -62,14 +62,14 @@
     }
 
     /** Records that an upstream crashed while it ran a request. */
-    public synchronized void crashed(long fingerprint, long nowMillis) {
+    public synchronized void recordCrash(long fingerprint, long nowMillis) {
         Suspect suspect = suspect(fingerprint, nowMillis);
         suspect.crashesByReporter.merge(self, 1, Integer::sum);
         unsent.add(fingerprint);
     }
 
     /** Merges the report of another router; reports of this router that come back are ignored. */
-    public synchronized void heard(CrashReport report, long nowMillis) {
+    public synchronized void mergeReport(CrashReport report, long nowMillis) {
         if (report.reporter() != self) {
             suspect(report.fingerprint(), nowMillis)
                     .crashesByReporter
@@ -78,7 +78,7 @@
     }
 
     /** Records a successful response, which clears the request. */
-    public synchronized void served(long fingerprint) {
+    public synchronized void recordSuccess(long fingerprint) {
         suspects.remove(fingerprint);
         unsent.remove(fingerprint);
         empty = suspects.isEmpty();
--- a/agatelane-core/src/main/java/io/agatelane/core/fleet/command/PeerLoads.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/fleet/command/PeerLoads.java
@@ -61,7 +61,7 @@
     }
 
     /** Removes the digest of a router whose requests are now contained in the digest of another one. */
-    public synchronized void forget(String vm) {
+    public synchronized void remove(String vm) {
         changed |= digests.remove(vm) != null;
     }
 
@@ -73,7 +73,7 @@
      * @param sources kinds of digests to include
      * @param own loads of this router's own requests
      */
-    public synchronized List<PeerLoad> merged(Set<Source> sources, List<PeerLoad> own, long nowMillis) {
+    public synchronized List<PeerLoad> sumForRelay(Set<Source> sources, List<PeerLoad> own, long nowMillis) {
         expire(nowMillis);
         List<List<PeerLoad>> all = new ArrayList<>();
         all.add(own);
@@ -142,8 +142,9 @@
                 sum.backlog = sum.backlog.plus(load.backlog());
                 sum.failures += load.failures();
                 sum.secondLongestUnansweredMillis = Math.max(
-                        sum.secondLongestUnansweredMillis, Math.min(sum.longestUnansweredMillis, load.silentMillis()));
-                sum.longestUnansweredMillis = Math.max(sum.longestUnansweredMillis, load.silentMillis());
+                        sum.secondLongestUnansweredMillis,
+                        Math.min(sum.longestUnansweredMillis, load.oldestUnansweredMillis()));
+                sum.longestUnansweredMillis = Math.max(sum.longestUnansweredMillis, load.oldestUnansweredMillis());
             }
             return sum;
         }
--- a/agatelane-core/src/main/java/io/agatelane/core/fleet/command/UpstreamLoad.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/fleet/command/UpstreamLoad.java
@@ -30,22 +30,22 @@
     private long failuresUpdatedMillis;
 
     /** Counts a request that is about to be sent. */
-    public synchronized void sent(Object request, int priority, double prefillMillis, long nowMillis) {
+    public synchronized void recordSent(Object request, int priority, double prefillMillis, long nowMillis) {
         inFlight++;
         backlog = backlog.with(priority, prefillMillis);
         unansweredSinceMillis.put(request, nowMillis);
     }
 
     /** Records that the response to a request has started; further calls for the same request have no effect. */
-    public synchronized void answered(Object request, int priority, double prefillMillis) {
+    public synchronized void recordResponseStarted(Object request, int priority, double prefillMillis) {
         if (unansweredSinceMillis.remove(request) != null) {
             backlog = backlog.with(priority, -prefillMillis);
         }
     }
 
     /** Records the end of a request that was counted as sent. */
-    public synchronized void ended(Object request, int priority, double prefillMillis) {
-        answered(request, priority, prefillMillis);
+    public synchronized void recordEnded(Object request, int priority, double prefillMillis) {
+        recordResponseStarted(request, priority, prefillMillis);
         inFlight--;
     }
 
@@ -54,20 +54,20 @@
      *
      * @param newDurationPercent duration of work relative to its normal duration; 100 is normal
      */
-    public synchronized void reported(int running, int waiting, double newDurationPercent, long nowMillis) {
+    public synchronized void recordReport(int running, int waiting, double newDurationPercent, long nowMillis) {
         otherRequests = Math.max(0, running + waiting - inFlight);
         durationPercent = newDurationPercent;
         lastReportMillis = nowMillis;
     }
 
     /** Records a failure caused by the upstream itself. */
-    public synchronized void failed(long nowMillis) {
+    public synchronized void recordFailure(long nowMillis) {
         failures = failures(nowMillis) + 1;
         failuresUpdatedMillis = nowMillis;
     }
 
     /** Records a successful response, which halves the number of recent failures. */
-    public synchronized void succeeded(long nowMillis) {
+    public synchronized void recordSuccess(long nowMillis) {
         failures = failures(nowMillis) / 2;
         failuresUpdatedMillis = nowMillis;
     }
--- a/agatelane-core/src/main/java/io/agatelane/core/fleet/query/CandidateSample.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/fleet/query/CandidateSampler.java
@@ -18,12 +18,12 @@
  * less loaded upstream of the sample is still preferred. For requests with a long prefix the sample depends only on the
  * prefix, so that few engines cache the prefix and later requests are sent to them.
  */
-public final class CandidateSample {
+public final class CandidateSampler {
     /**
      * Maximum number of routers for which every request is compared over all upstreams: with so few routers the load
      * data is recent and few decisions are made at the same time.
      */
-    public static final int SMALL_FLEET = 13;
+    public static final int MAX_ROUTERS_WITHOUT_SAMPLING = 13;
 
     // Sample sizes: the router's zone, all zones, and upstreams with older weights.
     private static final int SAME_ZONE_CANDIDATES = 2;
@@ -45,13 +45,13 @@
      * @param zone availability zone of this router
      * @param newestVersion newest requested version of the weights; 0 for requests without a prompt
      */
-    public CandidateSample(String zone, long newestVersion) {
+    public CandidateSampler(String zone, long newestVersion) {
         this.zone = zone;
         this.newestVersion = newestVersion;
     }
 
     /** Returns the candidates of a request without a long prefix; the same id selects the same upstreams. */
-    public List<Candidate> forRequest(List<Candidate> all, String requestId) {
+    public List<Candidate> sampleForRequest(List<Candidate> all, String requestId) {
         List<Candidate> ranked = ranked(all, requestId);
         Set<Candidate> sampled = new LinkedHashSet<>();
         newest(ranked)
@@ -68,7 +68,7 @@
      *
      * @param hasPrefix whether an engine has the prefix or is prefilling it; such engines are always candidates
      */
-    public List<Candidate> forPrefix(List<Candidate> all, String prefixId, Predicate<Candidate> hasPrefix) {
+    public List<Candidate> sampleForPrefix(List<Candidate> all, String prefixId, Predicate<Candidate> hasPrefix) {
         List<Candidate> ranked = ranked(all, prefixId);
         Set<Candidate> sampled = new LinkedHashSet<>();
         ranked.stream().filter(hasPrefix).forEach(sampled::add);
@@ -80,7 +80,7 @@
     private static List<Candidate> ranked(List<Candidate> all, String seed) {
         long hash = Rendezvous.hash(seed);
         List<Candidate> ranked = new ArrayList<>(all);
-        ranked.sort(Comparator.comparing(CandidateSample::isSuspicious)
+        ranked.sort(Comparator.comparing(CandidateSampler::isSuspicious)
                 .thenComparingLong(candidate -> Rendezvous.weight(
                         hash, Rendezvous.hash(candidate.upstream().id()))));
         return ranked;
--- a/agatelane-core/src/main/java/io/agatelane/core/fleet/query/EventFramer.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/fleet/query/EventFramer.java
@@ -51,7 +51,7 @@
     }
 
     /** Removes and returns the buffered bytes; to be called at the end of a complete stream. */
-    public byte[] rest() {
+    public byte[] takeRemaining() {
         byte[] bytes = pending;
         pending = NO_BYTES;
         return bytes;
--- a/agatelane-core/src/main/java/io/agatelane/core/fleet/query/PromptCache.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/fleet/query/PrefixLocator.java
@@ -22,7 +22,7 @@
  * <p>Parts are looked up in the cache namespace of the engine's weights version and, for an isolated account, of the
  * account.
  */
-public final class PromptCache {
+public final class PrefixLocator {
     // Prefilling a shorter prefix again is faster than any transfer.
     private static final int MIN_TRANSFER_TOKENS = 500;
     // Fixed part of a transfer: setup at both ends and the lookup at the source.
@@ -50,7 +50,7 @@
     private record PrefixLocations(long part, Set<Candidate> holders, boolean inStore, OptionalLong prefillingHolder) {}
 
     /** Creates a locator for one prompt. Not thread-safe. */
-    public PromptCache(
+    public PrefixLocator(
             PlacementIndex index,
             Prompt prompt,
             EngineProfile profile,
@@ -77,7 +77,7 @@
      * Returns the cache namespace for a weights version. Engines with other weights and requests of other accounts
      * never find the parts in it.
      */
-    public String salt(long weightsVersion) {
+    public String cacheSalt(long weightsVersion) {
         return isolatedAccount.map(account -> weightsVersion + "/" + account).orElse(Long.toString(weightsVersion));
     }
 
@@ -92,7 +92,7 @@
     }
 
     /** Whether an engine is prefilling the shared parts for an earlier request. */
-    public boolean isReading(Candidate candidate) {
+    public boolean isPrefilling(Candidate candidate) {
         OptionalLong prefillingHolder = locations(candidate).prefillingHolder();
         return prefillingHolder.isPresent() && prefillingHolder.getAsLong() == holder(candidate.upstream());
     }
@@ -103,12 +103,12 @@
         return known.inStore()
                 || !known.holders().isEmpty()
                 || candidates.stream()
-                        .anyMatch(other -> other.weightsVersion() == candidate.weightsVersion() && isReading(other));
+                        .anyMatch(other -> other.weightsVersion() == candidate.weightsVersion() && isPrefilling(other));
     }
 
     /** Returns the placement to announce before a request is sent to an engine that has to obtain the shared parts. */
-    public Optional<PlacementIndex.Placement> reading(Candidate chosen) {
-        if (!hasLongPrefix() || holds(chosen) || isReading(chosen)) {
+    public Optional<PlacementIndex.Placement> prefillPlacement(Candidate chosen) {
+        if (!hasLongPrefix() || holds(chosen) || isPrefilling(chosen)) {
             return Optional.empty();
         }
         return Optional.of(new PlacementIndex.Placement(locations(chosen).part(), holder(chosen.upstream()), 0));
@@ -166,7 +166,7 @@
     }
 
     /** Returns the address of the store to save the parts to after the prefill; empty when it probably has them. */
-    public Optional<String> saveTo(long weightsVersion) {
+    public Optional<String> storeToSaveTo(long weightsVersion) {
         if (!hasLongPrefix() || locations(weightsVersion).inStore()) {
             return Optional.empty();
         }
@@ -178,7 +178,7 @@
      *
      * @param saved whether the request also told the engine to save the parts to the store
      */
-    public List<PlacementIndex.Placement> placements(Candidate chosen, boolean saved) {
+    public List<PlacementIndex.Placement> placementsAfterPrefill(Candidate chosen, boolean saved) {
         if (!hasLongPrefix()) {
             return List.of();
         }
@@ -203,7 +203,7 @@
     }
 
     private long part(long weightsVersion) {
-        return Rendezvous.hash(prompt.model() + '/' + salt(weightsVersion) + '/' + prompt.sharedPrefixId());
+        return Rendezvous.hash(prompt.model() + '/' + cacheSalt(weightsVersion) + '/' + prompt.sharedPrefixId());
     }
 
     private static long holder(FleetUpstream upstream) {
--- a/agatelane-core/src/main/java/io/agatelane/core/fleet/query/QueueRule.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/fleet/query/QueueLimit.java
@@ -10,12 +10,12 @@
  * prefill takes much of the objective, are still accepted into a queue of half the objective; otherwise they would be
  * refused whenever any request is queued.
  */
-public final class QueueRule {
+public final class QueueLimit {
     // Share of the objective for the queue and the prompt's own prefill; the rest is for the network.
     private static final double OBJECTIVE_SHARE = 0.9;
     private static final double MIN_QUEUE_SHARE = 0.5;
 
-    private QueueRule() {}
+    private QueueLimit() {}
 
     /**
      * Returns the time after which a refused caller should retry: when the present queue has been processed.
@@ -24,7 +24,7 @@
      * @param objectiveMillis latency objective of the route; 0 when it has none
      * @return empty when the request is accepted
      */
-    public static OptionalLong retryAfterMillis(Choice choice, long objectiveMillis) {
+    public static OptionalLong retryAfterMillis(UpstreamChoice choice, long objectiveMillis) {
         double limit =
                 Math.max(objectiveMillis * MIN_QUEUE_SHARE, objectiveMillis * OBJECTIVE_SHARE - choice.prefillMillis());
         if (objectiveMillis <= 0 || choice.queueMillis() <= limit) {
--- a/agatelane-core/src/main/java/io/agatelane/core/fleet/query/RolloutPlan.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/fleet/query/RolloutSelector.java
@@ -8,14 +8,15 @@
 import java.util.function.ToDoubleFunction;
 
 /** Selects the engines that load new weights next. */
-public final class RolloutPlan {
-    private RolloutPlan() {}
+public final class RolloutSelector {
+    private RolloutSelector() {}
 
     /** Whether an engine that is not draining has weights that the operator has replaced by newer ones. */
-    public static boolean isOutdated(FleetUpstream upstream, Map<String, Long> newestWeights) {
+    public static boolean isOutdated(FleetUpstream upstream, Map<String, Long> newestWeightsVersions) {
         return !upstream.draining()
                 && upstream.weightsVersions().entrySet().stream()
-                        .anyMatch(loaded -> loaded.getValue() < newestWeights.getOrDefault(loaded.getKey(), 0L));
+                        .anyMatch(
+                                loaded -> loaded.getValue() < newestWeightsVersions.getOrDefault(loaded.getKey(), 0L));
     }
 
     /**
@@ -28,16 +29,16 @@
      * @param reserved ids of engines that are already out of service
      * @param maxReserved maximum number of engines out of service at the same time
      */
-    public static List<FleetUpstream> next(
+    public static List<FleetUpstream> selectNext(
             List<FleetUpstream> upstreams,
-            Map<String, Long> newestWeights,
+            Map<String, Long> newestWeightsVersions,
             Set<String> reserved,
             int maxReserved,
             ToDoubleFunction<FleetUpstream> load) {
         return upstreams.stream()
-                .filter(upstream -> isOutdated(upstream, newestWeights))
+                .filter(upstream -> isOutdated(upstream, newestWeightsVersions))
                 .filter(upstream -> !reserved.contains(upstream.id()))
-                .sorted(Comparator.comparingLong(RolloutPlan::oldestVersion)
+                .sorted(Comparator.comparingLong(RolloutSelector::oldestVersion)
                         .thenComparingDouble(load)
                         .thenComparing(FleetUpstream::id))
                 .limit(Math.max(0, maxReserved - reserved.size()))
--- a/agatelane-core/src/main/java/io/agatelane/core/fleet/query/WeightsRule.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/fleet/query/StaleWeightsFilter.java
@@ -1,6 +1,6 @@
 package io.agatelane.core.fleet.query;
 
-import io.agatelane.core.fleet.NamedWeights;
+import io.agatelane.core.fleet.RequestedWeights;
 import java.util.List;
 import java.util.Optional;
 
@@ -9,19 +9,19 @@
  *
  * <p>During a roll-out, engines that were unreachable may return, or restart, with the weights that they had before.
  */
-public final class WeightsRule {
+public final class StaleWeightsFilter {
     // Safety margin within the allowed time, for reading the store and for the queue of a busy engine.
     private static final long MARGIN_MILLIS = 2_500;
 
-    private WeightsRule() {}
+    private StaleWeightsFilter() {}
 
     /**
      * Returns the candidates that may still start a request.
      *
      * @param allowedMillis time for which replaced weights may still be used after the newer version was requested
      */
-    public static List<Candidate> allowed(
-            List<Candidate> candidates, NamedWeights requested, long nowMillis, long allowedMillis) {
+    public static List<Candidate> allowedCandidates(
+            List<Candidate> candidates, RequestedWeights requested, long nowMillis, long allowedMillis) {
         List<Candidate> newest = candidates.stream()
                 .filter(candidate -> candidate.weightsVersion() >= requested.newest())
                 .toList();
@@ -31,8 +31,8 @@
     }
 
     private static boolean isAllowed(
-            Candidate candidate, NamedWeights requested, long nowMillis, long allowedMillis, boolean noneIsNewest) {
-        Optional<NamedWeights.Naming> replacement = requested.replacementOf(candidate.weightsVersion());
+            Candidate candidate, RequestedWeights requested, long nowMillis, long allowedMillis, boolean noneIsNewest) {
+        Optional<RequestedWeights.FirstRead> replacement = requested.replacementOf(candidate.weightsVersion());
         if (replacement.isEmpty()) {
             return true;
         }
--- a/agatelane-core/src/main/java/io/agatelane/core/fleet/query/Choice.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/fleet/query/UpstreamChoice.java
@@ -11,7 +11,7 @@
  * @param cacheSource address to copy the shared prompt parts from; empty when the chosen engine has them or no engine
  *     or store does
  */
-public record Choice(
+public record UpstreamChoice(
         Candidate candidate,
         double expectedMillis,
         double queueMillis,
--- a/agatelane-core/src/main/java/io/agatelane/core/fleet/query/UpstreamChooser.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/fleet/query/UpstreamChooser.java
@@ -42,9 +42,9 @@
     }
 
     /** Chooses an upstream of a service whose requests have no prompt. */
-    public Optional<Choice> chooseForCall(List<Candidate> candidates, double serviceMillis) {
+    public Optional<UpstreamChoice> chooseForCall(List<Candidate> candidates, double serviceMillis) {
         return best(candidates, candidate -> callMillis(candidate, serviceMillis))
-                .map(candidate -> new Choice(
+                .map(candidate -> new UpstreamChoice(
                         candidate,
                         callMillis(candidate, serviceMillis),
                         callQueueMillis(candidate, serviceMillis),
@@ -53,18 +53,19 @@
     }
 
     /** Chooses an engine for a prompt. */
-    public Optional<Choice> chooseForPrompt(List<Candidate> candidates, PromptRequest request, PromptCache locator) {
+    public Optional<UpstreamChoice> chooseForPrompt(
+            List<Candidate> candidates, PromptRequest request, PrefixLocator locator) {
         // A short prefix may be prefilled on any engine; all requests that share it would overload a preferred one.
         Optional<Candidate> preferred = locator.hasLongPrefix()
                 ? preferred(candidates, request.prompt(), request.newestVersion())
                 : Optional.empty();
         return best(candidates, candidate -> promptMillis(candidate, preferred, request, locator))
-                .map(candidate -> new Choice(
+                .map(candidate -> new UpstreamChoice(
                         candidate,
                         promptMillis(candidate, preferred, request, locator),
                         queueMillis(candidate, request),
                         prefillMillis(candidate, request.prompt(), locator),
-                        locator.fastestSource(candidate).map(PromptCache.Source::address)));
+                        locator.fastestSource(candidate).map(PrefixLocator.Source::address)));
     }
 
     /**
@@ -80,7 +81,7 @@
                 .filter(candidate -> candidate.weightsVersion() >= newestVersion)
                 .toList();
         List<Candidate> pool = newest.isEmpty() ? candidates : newest;
-        int index = Rendezvous.first(
+        int index = Rendezvous.indexOfHighest(
                 Rendezvous.hash(prefix),
                 pool,
                 candidate -> Rendezvous.hash(candidate.upstream().id()));
@@ -88,7 +89,7 @@
     }
 
     private double promptMillis(
-            Candidate candidate, Optional<Candidate> preferred, PromptRequest request, PromptCache locator) {
+            Candidate candidate, Optional<Candidate> preferred, PromptRequest request, PrefixLocator locator) {
         UpstreamEstimate load = candidate.estimate();
         double prefill = prefillMillis(candidate, request.prompt(), locator) * load.durationPercent() / PERCENT;
         double millis = queueMillis(candidate, request) + prefill + penaltyMillis(candidate);
@@ -101,10 +102,10 @@
     // Prefilling a long prefix that is available elsewhere occupies the engine for as long as a late response is late,
     // without any benefit.
     private static double repeatedPrefillMillis(
-            Candidate candidate, Optional<Candidate> preferred, PromptRequest request, PromptCache locator) {
+            Candidate candidate, Optional<Candidate> preferred, PromptRequest request, PrefixLocator locator) {
         if (preferred.isEmpty()
                 || locator.holds(candidate)
-                || locator.isReading(candidate)
+                || locator.isPrefilling(candidate)
                 || locator.fastestSource(candidate).isPresent()) {
             return 0;
         }
@@ -123,11 +124,11 @@
         return (prefill + slotWait + utilisation) * load.durationPercent() / PERCENT;
     }
 
-    private double prefillMillis(Candidate candidate, Prompt prompt, PromptCache locator) {
+    private double prefillMillis(Candidate candidate, Prompt prompt, PrefixLocator locator) {
         int shared = prompt.sharedTokens();
         double unshared = Math.max(0, prompt.inputTokens() - shared) / settings.prefillTokensPerMilli();
         // When an engine is already prefilling the prefix, its backlog contains that work.
-        if (locator.holds(candidate) || locator.isReading(candidate)) {
+        if (locator.holds(candidate) || locator.isPrefilling(candidate)) {
             return unshared;
         }
         double repeated = shared / settings.prefillTokensPerMilli();
--- a/agatelane-core/src/main/java/io/agatelane/core/hash/Rendezvous.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/hash/Rendezvous.java
@@ -50,7 +50,7 @@
     }
 
     /** Returns the index of the node with the highest weight; -1 when there are no nodes. */
-    public static <T> int first(long keyHash, List<T> nodes, ToLongFunction<T> nodeHash) {
+    public static <T> int indexOfHighest(long keyHash, List<T> nodes, ToLongFunction<T> nodeHash) {
         int best = -1;
         long bestWeight = 0;
         for (int i = 0; i < nodes.size(); i++) {
--- a/agatelane-core/src/main/java/io/agatelane/core/limits/command/AccountLimiter.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/limits/command/AccountLimiter.java
@@ -33,7 +33,7 @@
      * Records the demand of a request, also when the request is refused later: shares depend on demand, and an account
      * whose requests are refused must not look idle.
      */
-    public void ask(ClientAccount account, long tokens, long nowMillis) {
+    public void recordDemand(ClientAccount account, long tokens, long nowMillis) {
         synchronized (table) {
             AccountState state = table.account(account.name());
             state.setWeight(account.weight());
@@ -69,7 +69,7 @@
     }
 
     /** Corrects a charge once the actual number of tokens is known; a negative correction refunds tokens. */
-    public void settle(ClientAccount account, long correctionTokens, long nowMillis) {
+    public void correctCharge(ClientAccount account, long correctionTokens, long nowMillis) {
         synchronized (table) {
             AccountState state = table.account(account.name());
             if (isLimited(account)) {
@@ -80,7 +80,7 @@
     }
 
     /** Records the demand that another router reported; older and repeated reports are ignored. */
-    public void hear(String account, String vm, long tokensPerSecond, long sequence, long nowMillis) {
+    public void recordPeerDemand(String account, String vm, long tokensPerSecond, long sequence, long nowMillis) {
         synchronized (table) {
             AccountState state = table.account(account);
             AccountState.PeerDemand known = state.peerDemands().get(vm);
--- a/agatelane-core/src/main/java/io/agatelane/core/limits/query/AdmissionCheck.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/limits/query/AdmissionCheck.java
@@ -29,7 +29,7 @@
      * @param latencyFactor recent ratio of the observed to the expected time to first token
      * @param sampleAgeMillis time since the latency factor was last observed
      */
-    public static double corrected(double totalMillis, double latencyFactor, long sampleAgeMillis) {
+    public static double correctedMillis(double totalMillis, double latencyFactor, long sampleAgeMillis) {
         if (sampleAgeMillis > MAX_SAMPLE_AGE_MILLIS) {
             return totalMillis;
         }
@@ -43,7 +43,7 @@
      * @throws AgatelaneException with {@code OVERLOADED} and the time after which the queue has drained enough to meet
      *     the deadline
      */
-    public static void requireInTime(double totalMillis, RoutingPolicy policy) {
+    public static void requireWithinDeadline(double totalMillis, RoutingPolicy policy) {
         if (pressure(totalMillis, policy) <= 1) {
             return;
         }
--- a/agatelane-core/src/main/java/io/agatelane/core/membership/SwimListener.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/membership/SwimListener.java
@@ -11,7 +11,7 @@
     void memberChanged(Optional<MemberRecord> before, MemberRecord after);
 
     /** Called when a higher revision of the configuration than last known is in force at a member. */
-    void revisionHeard(String name, long revision);
+    void configRevisionReceived(String name, long revision);
 
     /** Called for each received hint; for one with scope {@code ALL} only when it is new here. */
     void hintReceived(Hint hint);
--- a/agatelane-core/src/main/java/io/agatelane/core/membership/command/MemberTable.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/membership/command/MemberTable.java
@@ -171,7 +171,7 @@
         }
         entry.record = entry.record.withConfigRevision(revision);
         version++;
-        listener.revisionHeard(entry.record.name(), revision);
+        listener.configRevisionReceived(entry.record.name(), revision);
     }
 
     /** Starts a suspicion after a failed probe, or shortens a running one that another member started. */
@@ -278,7 +278,7 @@
         }
         listener.memberChanged(Optional.empty(), record);
         if (record.configRevision() > 0) {
-            listener.revisionHeard(record.name(), record.configRevision());
+            listener.configRevisionReceived(record.name(), record.configRevision());
         }
     }
 
@@ -310,7 +310,7 @@
         disseminationQueue.add(after);
         listener.memberChanged(Optional.of(before), after);
         if (revision > before.configRevision()) {
-            listener.revisionHeard(after.name(), revision);
+            listener.configRevisionReceived(after.name(), revision);
         }
     }
 
--- a/agatelane-core/src/main/java/io/agatelane/core/membership/command/SwimProtocol.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/membership/command/SwimProtocol.java
@@ -63,7 +63,7 @@
     }
 
     /** Adds unknown members from the platform's list, which may be outdated. */
-    public void learn(List<MemberRecord> records, long nowMillis) {
+    public void updatePlatformMembers(List<MemberRecord> records, long nowMillis) {
         tableSync.updatePlatformMembers(records, nowMillis);
     }
 
--- a/agatelane-core/src/main/java/io/agatelane/core/orders/command/LoadSlots.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/orders/command/LoadSlots.java
@@ -27,7 +27,7 @@
     public record Slot(int index, long revision, String upstream, String holderVm, long holderIncarnation) {}
 
     /** A slot to take by a compare-and-swap on the expected revision, which is 0 when the key does not exist. */
-    public record Choice(int index, long expectedRevision) {}
+    public record SlotChoice(int index, long expectedRevision) {}
 
     /**
      * Chooses a free slot, else an abandoned one; empty when no slot may be taken now. A slot is abandoned when its key
@@ -36,14 +36,14 @@
      *
      * @param sameModel engines with the same model as the one that is to load, including that one
      */
-    public Optional<Choice> choose(List<Slot> taken, Set<String> sameModel, long nowMillis) {
+    public Optional<SlotChoice> choose(List<Slot> taken, Set<String> sameModel, long nowMillis) {
         observe(taken, nowMillis);
         Set<Integer> busy = new HashSet<>();
         int loadingSameModel = 0;
-        Choice abandoned = null;
+        SlotChoice abandoned = null;
         for (Slot slot : taken) {
             if (nowMillis - observed.get(slot.index()).observedMillis >= timing.takeoverMillis()) {
-                abandoned = new Choice(slot.index(), slot.revision());
+                abandoned = new SlotChoice(slot.index(), slot.revision());
             } else if (sameModel.contains(slot.upstream())) {
                 loadingSameModel++;
             }
@@ -55,7 +55,7 @@
         }
         for (int index = 0; index < SLOTS; index++) {
             if (!busy.contains(index)) {
-                return Optional.of(new Choice(index, 0));
+                return Optional.of(new SlotChoice(index, 0));
             }
         }
         return Optional.ofNullable(abandoned);
--- a/agatelane-core/src/main/java/io/agatelane/core/orders/command/OrderMachine.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/orders/command/OrderMachine.java
@@ -55,7 +55,7 @@
      *
      * @param revision revision of the configuration that requires the state
      */
-    public void desire(Optional<DesiredState> newDesired, long revision, boolean engineChecksFencing) {
+    public void setDesired(Optional<DesiredState> newDesired, long revision, boolean engineChecksFencing) {
         if (!newDesired.equals(desired)) {
             failures = 0;
             notBeforeMillis = NEVER;
@@ -67,7 +67,7 @@
     }
 
     /** Returns the next step. */
-    public OrderStep next(long nowMillis) {
+    public OrderStep nextStep(long nowMillis) {
         if (orderMayRun(nowMillis)) {
             return OrderStep.WAIT;
         }
@@ -94,7 +94,7 @@
             return OrderStep.READ_KEY;
         }
         if (isOwnedByAnother(desiredState, nowMillis)) {
-            waitFor(timing.retryMillis(), nowMillis);
+            postpone(timing.retryMillis(), nowMillis);
             return slotHeld ? OrderStep.RELEASE_SLOT : OrderStep.WAIT;
         }
         if (slotHeld && nowMillis - slotSinceMillis >= timing.leaseMillis()) {
@@ -183,7 +183,7 @@
      * @param sinceMillis time at which this router took the key of the lease
      * @param untilMillis end of the lease, measured from the start of the call that granted or renewed it
      */
-    public void leaseHeld(long sinceMillis, long untilMillis) {
+    public void leaseAcquired(long sinceMillis, long untilMillis) {
         leaseHeld = true;
         leaseSinceMillis = sinceMillis;
         leaseUntilMillis = untilMillis;
@@ -229,7 +229,7 @@
     }
 
     /** Delays the next step without counting a failure. */
-    public void waitFor(long millis, long nowMillis) {
+    public void postpone(long millis, long nowMillis) {
         notBeforeMillis = nowMillis + millis;
     }
 
--- a/agatelane-core/src/main/java/io/agatelane/core/orders/query/OrderPlan.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/orders/query/OrderAssignment.java
@@ -15,8 +15,8 @@
 /**
  * Determines, from the configuration and the live routers, the desired state of each engine and who sends its orders.
  */
-public final class OrderPlan {
-    private OrderPlan() {}
+public final class OrderAssignment {
+    private OrderAssignment() {}
 
     /** Returns the engines whose orders a router sends, with their desired states, in name order. */
     public static Map<String, DesiredState> ordersOf(String vmName, List<String> liveVms, ConfigSnapshot config) {
@@ -26,7 +26,8 @@
         for (Upstream upstream : config.upstreams()) {
             Optional<DesiredState> desired = desiredState(upstream, config);
             if (desired.isPresent()) {
-                int selected = Rendezvous.first(Rendezvous.hash("orders/" + upstream.name()), hashes, hash -> hash);
+                int selected =
+                        Rendezvous.indexOfHighest(Rendezvous.hash("orders/" + upstream.name()), hashes, hash -> hash);
                 if (selected >= 0 && liveVms.get(selected).equals(vmName)) {
                     orders.put(upstream.name(), desired.get());
                 }
--- a/agatelane-core/src/main/java/io/agatelane/core/poison/SuspectTable.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/poison/SuspectTable.java
@@ -31,7 +31,7 @@
      * @param localCrashes crashes that this router observed itself
      * @param remoteCrashes largest number of crashes that another router reported
      */
-    public record Suspect(int localCrashes, int remoteCrashes, long untilMillis) {
+    public record Suspect(int localCrashes, int remoteCrashes, long expiresMillis) {
         /** Total of the known crashes. Other routers report only crashes that they observed, so the numbers add up. */
         public int crashes() {
             return localCrashes + remoteCrashes;
--- a/agatelane-core/src/main/java/io/agatelane/core/poison/command/CrashRecorder.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/poison/command/CrashRecorder.java
@@ -12,7 +12,7 @@
     }
 
     /** Records that a request was running when its engine crashed, and returns the updated entry. */
-    public Suspect crashed(String fingerprint, long nowMillis) {
+    public Suspect recordCrash(String fingerprint, long nowMillis) {
         synchronized (table) {
             Suspect known = current(fingerprint, nowMillis);
             Suspect next = new Suspect(
@@ -28,15 +28,15 @@
      * @return true when only the sum with the local crashes reaches the quarantine limit, so that this router must
      *     announce the quarantine to the others
      */
-    public boolean heard(String fingerprint, int crashes, long remainingMillis, long nowMillis) {
+    public boolean mergeRemoteCrashes(String fingerprint, int crashes, long remainingMillis, long nowMillis) {
         if (remainingMillis <= 0 || crashes <= 0) {
             return false;
         }
         synchronized (table) {
             Suspect known = current(fingerprint, nowMillis);
-            long untilMillis = Math.max(
-                    known.untilMillis(), nowMillis + Math.min(remainingMillis, SuspectTable.QUARANTINE_MILLIS));
-            Suspect next = new Suspect(known.localCrashes(), Math.max(known.remoteCrashes(), crashes), untilMillis);
+            long expiresMillis = Math.max(
+                    known.expiresMillis(), nowMillis + Math.min(remainingMillis, SuspectTable.QUARANTINE_MILLIS));
+            Suspect next = new Suspect(known.localCrashes(), Math.max(known.remoteCrashes(), crashes), expiresMillis);
             table.suspects().put(fingerprint, next);
             return crashes < SuspectTable.QUARANTINE_CRASHES
                     && known.crashes() < SuspectTable.QUARANTINE_CRASHES
@@ -46,6 +46,6 @@
 
     private Suspect current(String fingerprint, long nowMillis) {
         Suspect known = table.suspects().get(fingerprint);
-        return known == null || known.untilMillis() <= nowMillis ? new Suspect(0, 0, nowMillis) : known;
+        return known == null || known.expiresMillis() <= nowMillis ? new Suspect(0, 0, nowMillis) : known;
     }
 }
--- a/agatelane-core/src/main/java/io/agatelane/core/poison/query/QuarantineCheck.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/poison/query/QuarantineCheck.java
@@ -15,7 +15,7 @@
     public int crashes(String fingerprint, long nowMillis) {
         synchronized (table) {
             Suspect suspect = table.suspects().get(fingerprint);
-            return suspect == null || suspect.untilMillis() <= nowMillis ? 0 : suspect.crashes();
+            return suspect == null || suspect.expiresMillis() <= nowMillis ? 0 : suspect.crashes();
         }
     }
 
--- a/agatelane-core/src/main/java/io/agatelane/core/routing/UpstreamState.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/routing/UpstreamState.java
@@ -84,7 +84,7 @@
     }
 
     /** Invalidates all hints about this engine. */
-    public synchronized void dropHints() {
+    public synchronized void invalidateHints() {
         hintEpoch++;
         if (report != null) {
             engineKey = hintKey(report.incarnation());
@@ -105,24 +105,24 @@
     }
 
     /** Whether the engine is leaving according to the configuration or another router. */
-    public boolean leaving() {
+    public boolean isDraining() {
         return leavingByConfig || leavingByPeer;
     }
 
-    public void setLeavingByConfig(boolean newLeaving) {
+    public void setDrainingByConfig(boolean newLeaving) {
         leavingByConfig = newLeaving;
     }
 
-    public boolean leavingByPeer() {
+    public boolean drainingByPeer() {
         return leavingByPeer;
     }
 
     /** Returns the time at which another router last reported whether the engine is leaving. */
-    public long leavingByPeerMillis() {
+    public long drainingByPeerMillis() {
         return leavingByPeerMillis;
     }
 
-    public void setLeavingByPeer(boolean newLeaving, long nowMillis) {
+    public void setDrainingByPeer(boolean newLeaving, long nowMillis) {
         leavingByPeerMillis = nowMillis;
         leavingByPeer = newLeaving;
     }
@@ -148,7 +148,7 @@
     public boolean isReady(String model, String weightsVersion) {
         LoadReport current = report;
         return reachable
-                && !leaving()
+                && !isDraining()
                 && current != null
                 && !current.draining()
                 && current.model().equals(model)
@@ -202,7 +202,7 @@
     }
 
     /** Returns the time of the last latency sample. */
-    public synchronized long latencyMillis() {
+    public synchronized long lastLatencySampleMillis() {
         return lastLatencySampleMillis;
     }
 
--- a/agatelane-core/src/main/java/io/agatelane/core/routing/command/ProbationReview.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/routing/command/StragglerProbation.java
@@ -6,7 +6,7 @@
 import java.util.List;
 
 /** Puts engines on probation that are much slower than the other engines of their model, and ends probations. */
-public final class ProbationReview {
+public final class StragglerProbation {
     /** An engine whose latency factor exceeds the median of its peers this many times is a straggler. */
     public static final double STRAGGLER_FACTOR = 3;
 
@@ -14,14 +14,14 @@
     private static final double RECOVERED_FACTOR = 1.5;
     private static final long SAMPLE_EXPIRY_MILLIS = 10_000;
 
-    private ProbationReview() {}
+    private StragglerProbation() {}
 
     /** Updates the probation of the engines of one model and returns those whose state changed. */
-    public static List<UpstreamState> review(List<UpstreamState> engines, long nowMillis) {
+    public static List<UpstreamState> update(List<UpstreamState> engines, long nowMillis) {
         double[] factors = new double[engines.size()];
         int sampleCount = 0;
         for (UpstreamState engine : engines) {
-            if (nowMillis - engine.latencyMillis() > SAMPLE_EXPIRY_MILLIS) {
+            if (nowMillis - engine.lastLatencySampleMillis() > SAMPLE_EXPIRY_MILLIS) {
                 engine.resetLatency();
             } else {
                 factors[sampleCount++] = engine.latencyFactor();
--- a/agatelane-core/src/main/java/io/agatelane/core/routing/query/ChoiceRules.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/routing/query/ChoiceConstraints.java
@@ -10,7 +10,7 @@
  * @param routers number of routers known to share the engines; at least 1
  * @param excluded matches engines that this request must not use, for example because an earlier attempt failed there
  */
-public record ChoiceRules(RoutingPolicy policy, int routers, Predicate<UpstreamState> excluded) {
+public record ChoiceConstraints(RoutingPolicy policy, int routers, Predicate<UpstreamState> excluded) {
     private static final int PERCENT = 100;
 
     /**
--- a/agatelane-core/src/main/java/io/agatelane/core/routing/query/Chooser.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/routing/query/EngineChooser.java
@@ -12,7 +12,7 @@
 import java.util.Arrays;
 
 /** Chooses the engine with the shortest expected time to first token. Used by one thread at a time. */
-public final class Chooser {
+public final class EngineChooser {
     /** Number of preferred engines of a prefix with few requests. */
     public static final int MIN_PREFERRED = 2;
 
@@ -54,7 +54,7 @@
     private final LoadView load = new LoadView();
     private final boolean[] recentlySeen = new boolean[RequestProfile.MAX_LEVELS];
 
-    public Chooser(HintTable hints, PrefixRates rates) {
+    public EngineChooser(HintTable hints, PrefixRates rates) {
         this.hints = hints;
         this.rates = rates;
     }
@@ -64,7 +64,7 @@
      *
      * @return the decision; valid until the next call
      */
-    public Decision choose(ModelFleet fleet, RequestProfile request, ChoiceRules constraints, long nowMillis) {
+    public Decision choose(ModelFleet fleet, RequestProfile request, ChoiceConstraints constraints, long nowMillis) {
         decision.reset();
         if (fleet.size() == 0) {
             return decision;
@@ -86,7 +86,8 @@
         return decision;
     }
 
-    private void findPreferred(ModelFleet fleet, RequestProfile request, ChoiceRules constraints, long nowMillis) {
+    private void findPreferred(
+            ModelFleet fleet, RequestProfile request, ChoiceConstraints constraints, long nowMillis) {
         UpstreamState typical = fleet.member(0);
         for (int level = 0; level < request.levelCount(); level++) {
             double perSecond = rates.perSecond(request.digest(level), nowMillis);
@@ -150,7 +151,8 @@
         }
     }
 
-    private void score(ModelFleet fleet, RequestProfile request, ChoiceRules constraints, int first, long nowMillis) {
+    private void score(
+            ModelFleet fleet, RequestProfile request, ChoiceConstraints constraints, int first, long nowMillis) {
         int best = decision.best();
         for (int i = first; i < decision.count(); i++) {
             UpstreamState upstream = decision.upstream(i);
@@ -170,7 +172,7 @@
         decision.setBest(best);
     }
 
-    private Decision.Exclusion exclusion(ModelFleet fleet, int index, ChoiceRules constraints, long nowMillis) {
+    private Decision.Exclusion exclusion(ModelFleet fleet, int index, ChoiceConstraints constraints, long nowMillis) {
         UpstreamState upstream = decision.upstream(index);
         if (!fleet.isReady(upstream)) {
             return Decision.Exclusion.NOT_READY;
--- a/agatelane-core/src/main/java/io/agatelane/core/routing/query/PreferredUpstreamCache.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/routing/query/PreferredUpstreamCache.java
@@ -35,7 +35,7 @@
 
     /** The engines with the highest rendezvous weights for one prefix, highest first. */
     static final class Entry {
-        private final int[] indexes = new int[Chooser.MAX_PREFERRED];
+        private final int[] indexes = new int[EngineChooser.MAX_PREFERRED];
         // A number instead of a reference, so that old fleets can be garbage-collected.
         private long generation;
         private long key;
--- a/agatelane-core/src/main/java/io/agatelane/core/routing/query/PreferredUpstreamCount.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/routing/query/PreferredUpstreamCount.java
@@ -21,6 +21,6 @@
     public static int of(double perSecond, int routers, UpstreamState typical, LoadReport report) {
         double busySlots = perSecond * routers * typical.serviceMillis() / MILLIS_PER_SECOND;
         int engines = (int) Math.ceil(busySlots / (report.slots() * TARGET_UTILISATION));
-        return Math.max(Chooser.MIN_PREFERRED, Math.min(Chooser.MAX_PREFERRED, engines));
+        return Math.max(EngineChooser.MIN_PREFERRED, Math.min(EngineChooser.MAX_PREFERRED, engines));
     }
 }
--- a/agatelane-core/src/main/java/io/agatelane/core/routing/query/VersionChoice.java
+++ b/agatelane-core/src/main/java/io/agatelane/core/routing/query/VersionSelector.java
@@ -13,20 +13,20 @@
  * other weights share the requests in proportion to their numbers; otherwise the model would be unavailable until the
  * first engine has loaded the new weights.
  */
-public final class VersionChoice {
+public final class VersionSelector {
     private static final int HASH_SEED = 7;
 
     private final List<ModelFleet> fleets;
     private final int engineCount;
 
-    private VersionChoice(List<ModelFleet> fleets) {
+    private VersionSelector(List<ModelFleet> fleets) {
         this.fleets = fleets;
         this.engineCount = fleets.stream().mapToInt(ModelFleet::size).sum();
     }
 
     /** Creates a selector for the ready engines of a model, by their weights version. */
-    public static VersionChoice of(Map<String, ModelFleet> fleetsByVersion) {
-        return new VersionChoice(new TreeMap<>(fleetsByVersion)
+    public static VersionSelector of(Map<String, ModelFleet> fleetsByVersion) {
+        return new VersionSelector(new TreeMap<>(fleetsByVersion)
                 .values().stream()
                         .filter(fleet -> fleet.size() > 0)
                         .sorted(Comparator.comparing(ModelFleet::weightsVersion))
--- a/agatelane-core/src/test/java/io/agatelane/core/booking/command/PartitionMachineTest.java
+++ b/agatelane-core/src/test/java/io/agatelane/core/booking/command/PartitionMachineTest.java
@@ -4,16 +4,16 @@
 import static org.testng.Assert.assertFalse;
 import static org.testng.Assert.assertTrue;
 
-import io.agatelane.core.booking.Answer;
 import io.agatelane.core.booking.AttemptId;
 import io.agatelane.core.booking.Booking;
 import io.agatelane.core.booking.BookingKey;
-import io.agatelane.core.booking.BookingRules;
+import io.agatelane.core.booking.BookingLimits;
 import io.agatelane.core.booking.BookingState;
 import io.agatelane.core.booking.ClaimantState;
 import io.agatelane.core.booking.LoadedPartition;
 import io.agatelane.core.booking.Outcome;
 import io.agatelane.core.booking.Segment;
+import io.agatelane.core.booking.ServiceResponse;
 import io.agatelane.core.booking.Verdict;
 import java.util.ArrayList;
 import java.util.List;
@@ -35,7 +35,7 @@
 
     @BeforeMethod
     public void start() {
-        machine = new PartitionMachine(BookingRules.DEFAULT, "vm-1-1");
+        machine = new PartitionMachine(BookingLimits.DEFAULT, "vm-1-1");
         nowMillis = 0;
     }
 
@@ -48,7 +48,7 @@
         Effect.Swap swap = only(Effect.Swap.class, machine.commitDue(now()));
         assertEquals(swap.expectedRevision(), 0);
         assertEquals(swap.open().entries().size(), 2);
-        List<Effect> effects = machine.swapWon(now(), 1);
+        List<Effect> effects = machine.swapSucceeded(now(), 1);
         assertEquals(reply(effects, 1).verdict(), Verdict.GRANTED);
         assertEquals(reply(effects, 2).verdict(), Verdict.GRANTED);
     }
@@ -73,11 +73,11 @@
         grant(KEY, FIRST, 1);
         List<Effect> waits = machine.claim(now(), 5, KEY, SECOND, DIGEST);
         assertEquals(only(Effect.QueryClaimant.class, waits).attempt(), FIRST);
-        machine.claimantAnswered(now(), KEY, FIRST, ClaimantState.RUNNING, Optional.empty());
+        machine.claimantReported(now(), KEY, FIRST, ClaimantState.RUNNING, Optional.empty());
         assertTrue(machine.claim(now(), 6, KEY, SECOND, DIGEST).isEmpty(), "no second inquiry at once");
-        List<Effect> effects = machine.outcome(now(), 7, KEY, FIRST, Outcome.answered(response(10)));
-        assertEquals(reply(effects, 5).answer(), Optional.of(response(10)));
-        assertEquals(reply(effects, 6).answer(), Optional.of(response(10)));
+        List<Effect> effects = machine.outcome(now(), 7, KEY, FIRST, Outcome.finished(response(10)));
+        assertEquals(reply(effects, 5).response(), Optional.of(response(10)));
+        assertEquals(reply(effects, 6).response(), Optional.of(response(10)));
         assertTrue(none(Effect.ReplyOutcome.class, effects), "not recorded yet");
         List<Effect> late = machine.claim(now(), 8, KEY, new AttemptId("vm-3", 1, 1), DIGEST);
         assertEquals(reply(late, 8).verdict(), Verdict.FINISHED);
@@ -99,7 +99,7 @@
         load(Segment.empty(), 0);
         machine.claim(now(), 1, KEY, FIRST, DIGEST);
         Effect.Swap swap = only(Effect.Swap.class, machine.commitDue(now()));
-        assertEquals(machine.swapUnknown(now()).size(), 1);
+        assertEquals(machine.swapOutcomeUnknown(now()).size(), 1);
         List<Effect> effects = machine.loaded(now(), new LoadedPartition(1, swap.open(), Map.of()));
         assertEquals(reply(effects, 1).verdict(), Verdict.GRANTED);
     }
@@ -110,11 +110,11 @@
         load(Segment.empty(), 0);
         machine.claim(now(), 1, KEY, FIRST, DIGEST);
         machine.commitDue(now());
-        machine.swapUnknown(now());
+        machine.swapOutcomeUnknown(now());
         List<Effect> effects = machine.loaded(now(), new LoadedPartition(0, Segment.empty(), Map.of()));
         assertTrue(none(Effect.Reply.class, effects), "nothing is granted yet");
         assertEquals(only(Effect.Swap.class, effects).expectedRevision(), 0);
-        Effect.Reply refused = reply(machine.swapRefused(now()), 1);
+        Effect.Reply refused = reply(machine.swapFailedByOutage(now()), 1);
         assertEquals(refused.verdict(), Verdict.UNKNOWN);
         assertEquals(refused.claimant(), Optional.of(FIRST), "the first write may still take effect");
     }
@@ -125,7 +125,7 @@
         load(Segment.empty(), 0);
         machine.claim(now(), 1, KEY, FIRST, DIGEST);
         machine.commitDue(now());
-        machine.swapLost(now());
+        machine.swapConflicted(now());
         List<Effect> effects = machine.loaded(now(), new LoadedPartition(3, segment(claimed(KEY, SECOND)), Map.of()));
         assertTrue(none(Effect.Reply.class, effects), "the claim waits for the other attempt");
         assertEquals(only(Effect.QueryClaimant.class, effects).attempt(), SECOND);
@@ -143,7 +143,7 @@
         machine.claim(now(), 2, KEY, FIRST, DIGEST);
         machine.commitDue(now());
         // Another router may have acted as owner, and run the booking, after the partition was read here.
-        assertEquals(reply(machine.swapRefused(now()), 2).verdict(), Verdict.UNKNOWN);
+        assertEquals(reply(machine.swapFailedByOutage(now()), 2).verdict(), Verdict.UNKNOWN);
         assertEquals(reply(machine.claim(now(), 3, KEY, FIRST, DIGEST), 3).verdict(), Verdict.UNKNOWN);
         assertEquals(reply(machine.claim(now(), 4, OTHER, FIRST, DIGEST), 4).verdict(), Verdict.FINISHED);
     }
@@ -153,7 +153,7 @@
     public void queuedClaimSeesALateOutcome() {
         load(Segment.empty(), 0);
         machine.claim(now(), 1, KEY, SECOND, DIGEST);
-        machine.outcome(now(), 2, KEY, FIRST, Outcome.answered(response(10)));
+        machine.outcome(now(), 2, KEY, FIRST, Outcome.finished(response(10)));
         List<Effect> effects = machine.commitDue(now());
         assertEquals(reply(effects, 1).verdict(), Verdict.FINISHED);
         Segment written = only(Effect.Swap.class, effects).open();
@@ -165,18 +165,18 @@
     public void lostClaimantIsResolvedByTheService() {
         grant(KEY, FIRST, 1);
         machine.claim(now(), 5, KEY, SECOND, DIGEST);
-        List<Effect> gone = machine.claimantAnswered(now(), KEY, FIRST, ClaimantState.GONE, Optional.empty());
+        List<Effect> gone = machine.claimantReported(now(), KEY, FIRST, ClaimantState.GONE, Optional.empty());
         only(Effect.Load.class, gone);
         Segment still = segment(claimed(KEY, FIRST));
         List<Effect> effects = machine.loaded(now(), new LoadedPartition(1, still, Map.of()));
-        only(Effect.CallStatus.class, effects);
-        Effect.Reply unknown = reply(machine.statusAnswered(now(), KEY, FIRST, Optional.empty()), 5);
+        only(Effect.QueryServiceStatus.class, effects);
+        Effect.Reply unknown = reply(machine.statusReceived(now(), KEY, FIRST, Optional.empty()), 5);
         assertEquals(unknown.verdict(), Verdict.UNKNOWN);
         nowMillis += 2_000;
         machine.claim(now(), 6, KEY, SECOND, DIGEST);
-        machine.claimantAnswered(now(), KEY, FIRST, ClaimantState.UNREACHABLE, Optional.empty());
-        Effect.Reply ran = reply(machine.statusAnswered(now(), KEY, FIRST, Optional.of(response(3))), 6);
-        assertEquals(ran.answer(), Optional.of(response(3)));
+        machine.claimantReported(now(), KEY, FIRST, ClaimantState.UNREACHABLE, Optional.empty());
+        Effect.Reply ran = reply(machine.statusReceived(now(), KEY, FIRST, Optional.of(response(3))), 6);
+        assertEquals(ran.response(), Optional.of(response(3)));
     }
 
     /** Guards against a segment that grows without bound, and against losing a sealed booking. */
@@ -190,26 +190,26 @@
             AttemptId attempt = new AttemptId("vm-1", 1, 10 + i);
             machine.claim(now(), i, key, attempt, DIGEST);
             swap = only(Effect.Swap.class, machine.commitDue(now()));
-            machine.swapWon(now(), ++revision);
+            machine.swapSucceeded(now(), ++revision);
             if (swap.sealed().isPresent()) {
                 break;
             }
-            machine.outcome(now(), 100 + i, key, attempt, Outcome.answered(response(15_000)));
+            machine.outcome(now(), 100 + i, key, attempt, Outcome.finished(response(15_000)));
             nowMillis += 1_000;
             machine.commitDue(now());
-            machine.swapWon(now(), ++revision);
+            machine.swapSucceeded(now(), ++revision);
         }
         assertEquals(swap.sealed().orElseThrow().name(), "0-" + swap.expectedRevision());
         assertEquals(swap.open().sealed().size(), 1);
         assertFalse(swap.open().entries().isEmpty(), "the running claim stays in the open segment");
         BookingKey first = new BookingKey("aargau", "permits", "sealed-0");
         assertEquals(reply(machine.claim(now(), 50, first, SECOND, DIGEST), 50).verdict(), Verdict.FINISHED);
-        nowMillis += BookingRules.DEFAULT.retentionMillis();
+        nowMillis += BookingLimits.DEFAULT.retentionMillis();
         machine.claim(now(), 51, first, SECOND, DIGEST);
         Effect.Swap late = only(Effect.Swap.class, machine.commitDue(now()));
         assertTrue(late.open().sealed().isEmpty(), "the retention time ended");
         assertEquals(
-                only(Effect.DeleteSealed.class, machine.swapWon(now(), ++revision))
+                only(Effect.DeleteSealed.class, machine.swapSucceeded(now(), ++revision))
                         .names()
                         .size(),
                 1);
@@ -219,17 +219,17 @@
     @Test
     public void bookingsSurviveARestoreOfThePlatform() {
         grant(KEY, FIRST, 5);
-        machine.outcome(now(), 5, KEY, FIRST, Outcome.answered(response(10)));
+        machine.outcome(now(), 5, KEY, FIRST, Outcome.finished(response(10)));
         nowMillis += 1_000;
         machine.commitDue(now());
-        machine.swapWon(now(), 6);
+        machine.swapSucceeded(now(), 6);
         machine.claim(now(), 6, OTHER, FIRST, DIGEST);
         machine.commitDue(now());
-        machine.swapWon(now(), 7);
+        machine.swapSucceeded(now(), 7);
         only(Effect.Load.class, machine.ownershipGained(now()));
         List<Effect> effects = machine.loaded(now(), new LoadedPartition(0, Segment.empty(), Map.of()));
         assertEquals(only(Effect.Swap.class, effects).open().entries().size(), 2);
-        assertEquals(reply(machine.claim(now(), 7, KEY, SECOND, DIGEST), 7).answer(), Optional.of(response(10)));
+        assertEquals(reply(machine.claim(now(), 7, KEY, SECOND, DIGEST), 7).response(), Optional.of(response(10)));
         assertTrue(none(Effect.Reply.class, machine.claim(now(), 8, OTHER, SECOND, DIGEST)), "it may be running");
     }
 
@@ -237,18 +237,18 @@
     @Test
     public void longResponseIsStoredFirst() {
         grant(KEY, FIRST, 1);
-        List<Effect> effects = machine.outcome(now(), 5, KEY, FIRST, Outcome.answered(response(20_000)));
-        only(Effect.StoreAnswer.class, effects);
+        List<Effect> effects = machine.outcome(now(), 5, KEY, FIRST, Outcome.finished(response(20_000)));
+        only(Effect.StoreResponse.class, effects);
         nowMillis += 1_000;
         assertTrue(none(Effect.Swap.class, machine.commitDue(now())), "the response is not stored yet");
-        machine.answerStored(now(), KEY, FIRST, true);
+        machine.responseStored(now(), KEY, FIRST, true);
         nowMillis += 1_000;
         Effect.Swap swap = only(Effect.Swap.class, machine.commitDue(now()));
-        assertEquals(swap.open().entries().get(0).answer(), Optional.empty());
+        assertEquals(swap.open().entries().get(0).response(), Optional.empty());
     }
 
-    private Now now() {
-        return new Now(nowMillis, 1_700_000_000_000L + nowMillis);
+    private EventTime now() {
+        return new EventTime(nowMillis, 1_700_000_000_000L + nowMillis);
     }
 
     private void load(Segment open, long revision) {
@@ -260,7 +260,7 @@
         load(Segment.empty(), 0);
         machine.claim(now(), 0, key, attempt, DIGEST);
         machine.commitDue(now());
-        assertEquals(reply(machine.swapWon(now(), revision), 0).verdict(), Verdict.GRANTED);
+        assertEquals(reply(machine.swapSucceeded(now(), revision), 0).verdict(), Verdict.GRANTED);
     }
 
     private Booking claimed(BookingKey key, AttemptId attempt) {
@@ -271,8 +271,8 @@
         return new Segment(0, List.of(bookings), List.of(), "another router");
     }
 
-    private static Answer response(int bytes) {
-        return new Answer(200, "text/plain", new byte[bytes]);
+    private static ServiceResponse response(int bytes) {
+        return new ServiceResponse(200, "text/plain", new byte[bytes]);
     }
 
     private static Effect.Reply reply(List<Effect> effects, long ticket) {
--- a/agatelane-core/src/test/java/io/agatelane/core/config/MonotonicConfigTest.java
+++ b/agatelane-core/src/test/java/io/agatelane/core/config/MonotonicConfigTest.java
@@ -5,10 +5,10 @@
 import static org.testng.Assert.assertNotEquals;
 import static org.testng.Assert.assertTrue;
 
-import io.agatelane.core.config.command.ForwardReader;
-import io.agatelane.core.config.command.HeadVerdict;
+import io.agatelane.core.config.command.HeadRelation;
+import io.agatelane.core.config.command.MonotonicConfig;
 import io.agatelane.core.config.command.ShardAssembly;
-import io.agatelane.core.config.query.WatcherChoice;
+import io.agatelane.core.config.query.RouterRanking;
 import io.agatelane.core.model.RoutingPolicy;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -24,25 +24,25 @@
     public void rejectsOlderStates() {
         ConfigState old = states(3);
         ConfigState current = states(5);
-        ForwardReader reader = new ForwardReader();
-        assertTrue(reader.advance(current));
-        assertEquals(reader.assess(old.head()), HeadVerdict.REGRESSED);
-        assertEquals(reader.assess(Head.empty()), HeadVerdict.REGRESSED);
-        assertEquals(reader.assess(current.head()), HeadVerdict.CURRENT);
-        assertEquals(reader.assess(states(6).head()), HeadVerdict.NEWER);
-        assertFalse(reader.advance(old));
-        assertEquals(reader.state().revision(), 5);
+        MonotonicConfig monotonicConfig = new MonotonicConfig();
+        assertTrue(monotonicConfig.advance(current));
+        assertEquals(monotonicConfig.assess(old.head()), HeadRelation.REGRESSED);
+        assertEquals(monotonicConfig.assess(Head.empty()), HeadRelation.REGRESSED);
+        assertEquals(monotonicConfig.assess(current.head()), HeadRelation.CURRENT);
+        assertEquals(monotonicConfig.assess(states(6).head()), HeadRelation.NEWER);
+        assertFalse(monotonicConfig.advance(old));
+        assertEquals(monotonicConfig.state().revision(), 5);
     }
 
     /** Guards against adopting a higher revision that lacks changes the router has, made after a platform restore. */
     @Test
     public void rejectsADivergedHistory() {
-        ForwardReader reader = new ForwardReader();
-        reader.advance(states(5));
+        MonotonicConfig monotonicConfig = new MonotonicConfig();
+        monotonicConfig.advance(states(5));
         ConfigState other = states(3);
         for (int i = 0; i < 4; i++) {
             other = change(other, "other-" + i);
-            assertEquals(reader.assess(other.head()), HeadVerdict.DIVERGED, "revision " + other.revision());
+            assertEquals(monotonicConfig.assess(other.head()), HeadRelation.DIVERGED, "revision " + other.revision());
         }
     }
 
@@ -96,16 +96,16 @@
     public void watchersAreStableWhenOthersLeave() {
         Set<String> names = new HashSet<>();
         IntStream.range(0, 50).forEach(i -> names.add("entry-" + i));
-        List<String> before = WatcherChoice.watchers("ch-nord", names);
-        assertEquals(before.size(), WatcherChoice.WATCHERS_PER_REGION);
+        List<String> before = RouterRanking.watchers("ch-nord", names);
+        assertEquals(before.size(), RouterRanking.WATCHERS_PER_REGION);
         for (String name : Set.copyOf(names)) {
             Set<String> rest = new HashSet<>(names);
             rest.remove(name);
-            List<String> after = WatcherChoice.watchers("ch-nord", rest);
+            List<String> after = RouterRanking.watchers("ch-nord", rest);
             long unchanged = before.stream().filter(after::contains).count();
             assertEquals(unchanged, before.contains(name) ? 1 : 2, name);
         }
-        assertEquals(WatcherChoice.watchers("ch-nord", List.of("only")), List.of("only"));
+        assertEquals(RouterRanking.watchers("ch-nord", List.of("only")), List.of("only"));
     }
 
     private static ConfigState states(int count) {
--- a/agatelane-core/src/test/java/io/agatelane/core/fleet/CandidateSamplerTest.java
+++ b/agatelane-core/src/test/java/io/agatelane/core/fleet/CandidateSamplerTest.java
@@ -4,9 +4,9 @@
 import static org.testng.Assert.assertTrue;
 
 import io.agatelane.core.fleet.query.Candidate;
-import io.agatelane.core.fleet.query.CandidateSample;
+import io.agatelane.core.fleet.query.CandidateSampler;
 import io.agatelane.core.fleet.query.ChoiceSettings;
-import io.agatelane.core.fleet.query.PromptCache;
+import io.agatelane.core.fleet.query.PrefixLocator;
 import io.agatelane.core.fleet.query.PromptRequest;
 import io.agatelane.core.fleet.query.UpstreamChooser;
 import java.util.ArrayList;
@@ -49,9 +49,9 @@
         }
         Candidate healthy = FleetFixtures.candidate("sound", "b", 2, UpstreamEstimate.IDLE);
         all.add(healthy);
-        CandidateSample sample = new CandidateSample("a", 2);
+        CandidateSampler sampler = new CandidateSampler("a", 2);
         for (int i = 0; i < 20; i++) {
-            List<Candidate> sampled = sample.forRequest(all, "r" + i);
+            List<Candidate> sampled = sampler.sampleForRequest(all, "r" + i);
             assertTrue(sampled.contains(healthy));
             long older = sampled.stream()
                     .filter(candidate -> candidate.weightsVersion() < 2)
@@ -64,15 +64,15 @@
     @Test
     public void aPrefixSelectsTheSameEnginesOnAllRouters() {
         List<Candidate> all = candidates(RandomSource.XO_RO_SHI_RO_128_PP.create(1));
-        List<Candidate> sampledInZoneA = new CandidateSample("a", 1).forPrefix(all, "p", candidate -> false);
-        List<Candidate> sampledInZoneB = new CandidateSample("b", 1).forPrefix(all, "p", candidate -> false);
+        List<Candidate> sampledInZoneA = new CandidateSampler("a", 1).sampleForPrefix(all, "p", candidate -> false);
+        List<Candidate> sampledInZoneB = new CandidateSampler("b", 1).sampleForPrefix(all, "p", candidate -> false);
         assertEquals(sampledInZoneA, sampledInZoneB);
         Candidate holder = all.stream()
                 .filter(candidate -> !sampledInZoneA.contains(candidate))
                 .findFirst()
                 .orElseThrow();
-        assertTrue(new CandidateSample("a", 1)
-                .forPrefix(all, "p", candidate -> candidate == holder)
+        assertTrue(new CandidateSampler("a", 1)
+                .sampleForPrefix(all, "p", candidate -> candidate == holder)
                 .contains(holder));
     }
 
@@ -82,8 +82,8 @@
         int[] requestCounts = new int[ENGINES];
         for (int i = 0; i < REQUESTS; i++) {
             String zone = ZONES[random.nextInt(ZONES.length)];
-            List<Candidate> candidates = isSampled ? new CandidateSample(zone, 1).forRequest(all, "r" + i) : all;
-            PromptCache locator = new PromptCache(
+            List<Candidate> candidates = isSampled ? new CandidateSampler(zone, 1).sampleForRequest(all, "r" + i) : all;
+            PrefixLocator locator = new PrefixLocator(
                     new PlacementIndex(),
                     SHORT_PROMPT,
                     FleetFixtures.PROFILE,
--- a/agatelane-core/src/test/java/io/agatelane/core/fleet/CrashSuspectsTest.java
+++ b/agatelane-core/src/test/java/io/agatelane/core/fleet/CrashSuspectsTest.java
@@ -16,11 +16,11 @@
     public void crashesOfAllRoutersAreAdded() {
         CrashSuspects first = new CrashSuspects(1);
         CrashSuspects second = new CrashSuspects(2);
-        first.crashed(REQUEST, 0);
-        first.crashed(REQUEST, 10);
-        first.takeUnsent().forEach(report -> second.heard(report, 20));
+        first.recordCrash(REQUEST, 0);
+        first.recordCrash(REQUEST, 10);
+        first.takeUnsent().forEach(report -> second.mergeReport(report, 20));
         assertFalse(second.isQuarantined(REQUEST, 20));
-        second.crashed(REQUEST, 30);
+        second.recordCrash(REQUEST, 30);
         assertTrue(second.isQuarantined(REQUEST, 30));
         assertFalse(second.isQuarantined(REQUEST + 1, 30));
     }
@@ -29,14 +29,14 @@
     @Test
     public void reportsCountOnce() {
         CrashSuspects first = new CrashSuspects(1);
-        first.crashed(REQUEST, 0);
+        first.recordCrash(REQUEST, 0);
         CrashReport report = first.takeUnsent().get(0);
-        first.heard(report, 1);
+        first.mergeReport(report, 1);
         CrashSuspects second = new CrashSuspects(2);
-        second.heard(report, 1);
-        second.heard(report, 2);
-        second.heard(new CrashReport(REQUEST, 1, 2), 3);
-        second.heard(report, 4);
+        second.mergeReport(report, 1);
+        second.mergeReport(report, 2);
+        second.mergeReport(new CrashReport(REQUEST, 1, 2), 3);
+        second.mergeReport(report, 4);
         assertFalse(first.isQuarantined(REQUEST, 5));
         assertFalse(second.isQuarantined(REQUEST, 5));
         assertEquals(first.takeUnsent().size(), 0);
@@ -47,11 +47,11 @@
     public void successfulResponseOrExpiryClearsARequest() {
         CrashSuspects suspects = new CrashSuspects(1);
         for (int i = 0; i < CrashSuspects.QUARANTINE_CRASHES; i++) {
-            suspects.crashed(REQUEST, 0);
-            suspects.crashed(REQUEST + 1, 0);
+            suspects.recordCrash(REQUEST, 0);
+            suspects.recordCrash(REQUEST + 1, 0);
         }
         assertTrue(suspects.isQuarantined(REQUEST, 1));
-        suspects.served(REQUEST);
+        suspects.recordSuccess(REQUEST);
         assertFalse(suspects.isQuarantined(REQUEST, 1));
         assertTrue(suspects.isQuarantined(REQUEST + 1, 1));
         assertFalse(suspects.isQuarantined(REQUEST + 1, CrashSuspects.RETENTION_MILLIS));
--- a/agatelane-core/src/test/java/io/agatelane/core/fleet/EventFramerTest.java
+++ b/agatelane-core/src/test/java/io/agatelane/core/fleet/EventFramerTest.java
@@ -48,7 +48,7 @@
     public void remainingBytesAreReturned() {
         EventFramer framer = new EventFramer();
         assertEquals(text(framer.append(bytes("{\"error\":1}"))), "");
-        assertEquals(text(framer.rest()), "{\"error\":1}");
+        assertEquals(text(framer.takeRemaining()), "{\"error\":1}");
     }
 
     private static byte[] bytes(String text) {
--- a/agatelane-core/src/test/java/io/agatelane/core/fleet/OverloadTest.java
+++ b/agatelane-core/src/test/java/io/agatelane/core/fleet/OverloadTest.java
@@ -3,12 +3,12 @@
 import static org.testng.Assert.assertTrue;
 
 import io.agatelane.core.fleet.query.Candidate;
-import io.agatelane.core.fleet.query.Choice;
 import io.agatelane.core.fleet.query.ChoiceSettings;
 import io.agatelane.core.fleet.query.EnginePriority;
-import io.agatelane.core.fleet.query.PromptCache;
+import io.agatelane.core.fleet.query.PrefixLocator;
 import io.agatelane.core.fleet.query.PromptRequest;
-import io.agatelane.core.fleet.query.QueueRule;
+import io.agatelane.core.fleet.query.QueueLimit;
+import io.agatelane.core.fleet.query.UpstreamChoice;
 import io.agatelane.core.fleet.query.UpstreamChooser;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -131,17 +131,18 @@
             candidates.add(FleetFixtures.candidate(
                     "e" + i, "z", 1, new UpstreamEstimate(engine.queue.size(), engine.backlog, 100, 0, 0)));
         }
-        PromptCache locator =
-                new PromptCache(index, prompt, FleetFixtures.PROFILE, Optional.empty(), Optional.empty(), candidates);
+        PrefixLocator locator =
+                new PrefixLocator(index, prompt, FleetFixtures.PROFILE, Optional.empty(), Optional.empty(), candidates);
         PromptRequest request = new PromptRequest(prompt, FleetFixtures.PROFILE, priority, 1, OBJECTIVE_MILLIS);
-        Choice choice = chooser.chooseForPrompt(candidates, request, locator).orElseThrow();
-        if (QueueRule.retryAfterMillis(choice, OBJECTIVE_MILLIS).isPresent()) {
+        UpstreamChoice choice =
+                chooser.chooseForPrompt(candidates, request, locator).orElseThrow();
+        if (QueueLimit.retryAfterMillis(choice, OBJECTIVE_MILLIS).isPresent()) {
             outcome.refused++;
             return;
         }
         // The engine caches exactly the parts of the placements; a copy takes the time that the chooser expects.
         double work = choice.prefillMillis();
-        locator.placements(choice.candidate(), false).forEach(index::placed);
+        locator.placementsAfterPrefill(choice.candidate(), false).forEach(index::recordLocal);
         add(engines.get(candidates.indexOf(choice.candidate())), new Job(prompt, isShort, priority, now, work));
     }
 
--- a/agatelane-core/src/test/java/io/agatelane/core/fleet/PeerLoadsTest.java
+++ b/agatelane-core/src/test/java/io/agatelane/core/fleet/PeerLoadsTest.java
@@ -46,7 +46,7 @@
         PrefillBacklog backlog = PrefillBacklog.EMPTY.with(1, 30).with(4, 500);
         assertEquals(backlog.millisAhead(1), 30.0);
         assertEquals(backlog.millisAhead(9), 530.0);
-        assertEquals(PrefillBacklog.of(backlog.figures()).millisAhead(9), 530.0);
+        assertEquals(PrefillBacklog.of(backlog.wholeMillisByPriority()).millisAhead(9), 530.0);
         assertEquals(backlog.with(4, -800).totalMillis(), 30.0);
     }
 
--- a/agatelane-core/src/test/java/io/agatelane/core/fleet/PrefixLocatorTest.java
+++ b/agatelane-core/src/test/java/io/agatelane/core/fleet/PrefixLocatorTest.java
@@ -6,10 +6,10 @@
 import static org.testng.Assert.assertTrue;
 
 import io.agatelane.core.fleet.query.Candidate;
-import io.agatelane.core.fleet.query.Choice;
 import io.agatelane.core.fleet.query.ChoiceSettings;
-import io.agatelane.core.fleet.query.PromptCache;
+import io.agatelane.core.fleet.query.PrefixLocator;
 import io.agatelane.core.fleet.query.PromptRequest;
+import io.agatelane.core.fleet.query.UpstreamChoice;
 import io.agatelane.core.fleet.query.UpstreamChooser;
 import java.util.List;
 import java.util.Optional;
@@ -27,18 +27,18 @@
     @Test
     public void sourceIsTheEngineThenTheStore() {
         PlacementIndex index = new PlacementIndex();
-        PromptCache locator = locator(index, Optional.empty());
-        assertEquals(locator.saveTo(1), Optional.of(STORE.address()));
-        locator.placements(first, true).forEach(index::placed);
+        PrefixLocator locator = locator(index, Optional.empty());
+        assertEquals(locator.storeToSaveTo(1), Optional.of(STORE.address()));
+        locator.placementsAfterPrefill(first, true).forEach(index::recordLocal);
         locator = locator(index, Optional.empty());
         assertTrue(locator.holds(first));
         assertEquals(
                 locator.fastestSource(second).orElseThrow().address(),
                 first.upstream().address());
-        assertEquals(locator.saveTo(1), Optional.empty());
+        assertEquals(locator.storeToSaveTo(1), Optional.empty());
         // The engine prefills other prompts until it must have evicted the parts; the store still has them.
         for (int other = 0; other < 5; other++) {
-            index.heard(new PlacementIndex.Placement(other, holder(first), 20_000));
+            index.recordFromPeer(new PlacementIndex.Placement(other, holder(first), 20_000));
         }
         locator = locator(index, Optional.empty());
         assertFalse(locator.holds(first));
@@ -49,31 +49,31 @@
     @Test
     public void otherWeightsHaveOtherParts() {
         PlacementIndex index = new PlacementIndex();
-        PromptCache locator = locator(index, Optional.empty());
-        locator.placements(first, true).forEach(index::placed);
+        PrefixLocator locator = locator(index, Optional.empty());
+        locator.placementsAfterPrefill(first, true).forEach(index::recordLocal);
         locator = locator(index, Optional.empty());
         assertEquals(locator.fastestSource(updated), Optional.empty());
-        assertNotEquals(locator.salt(1), locator.salt(2));
+        assertNotEquals(locator.cacheSalt(1), locator.cacheSalt(2));
     }
 
     // Guards against parts of an isolated account that another account could find.
     @Test
     public void isolatedAccountHasItsOwnNamespace() {
         PlacementIndex index = new PlacementIndex();
-        locator(index, Optional.of("x")).placements(first, true).forEach(index::placed);
+        locator(index, Optional.of("x")).placementsAfterPrefill(first, true).forEach(index::recordLocal);
         assertFalse(locator(index, Optional.empty()).holds(first));
         assertFalse(locator(index, Optional.of("y")).holds(first));
         assertNotEquals(
-                locator(index, Optional.of("x")).salt(1),
-                locator(index, Optional.of("y")).salt(1));
+                locator(index, Optional.of("x")).cacheSalt(1),
+                locator(index, Optional.of("y")).cacheSalt(1));
     }
 
     // Guards against the assumption that a restarted store still has its contents.
     @Test
     public void restartedStoreIsEmpty() {
         PlacementIndex index = new PlacementIndex();
-        locator(index, Optional.empty()).placements(first, true).forEach(index::placed);
-        PromptCache afterRestart = new PromptCache(
+        locator(index, Optional.empty()).placementsAfterPrefill(first, true).forEach(index::recordLocal);
+        PrefixLocator afterRestart = new PrefixLocator(
                 index,
                 PROMPT,
                 FleetFixtures.PROFILE,
@@ -81,7 +81,7 @@
                 Optional.empty(),
                 List.of(second));
         assertEquals(afterRestart.fastestSource(second), Optional.empty());
-        assertEquals(afterRestart.saveTo(1), Optional.of(STORE.address()));
+        assertEquals(afterRestart.storeToSaveTo(1), Optional.of(STORE.address()));
     }
 
     // Guards against a prefix that is prefilled twice because the second request arrives before the first response.
@@ -89,24 +89,25 @@
     public void secondRequestWaitsForAPrefillInProgress() {
         PlacementIndex index = new PlacementIndex();
         PlacementIndex peer = new PlacementIndex();
-        locator(index, Optional.empty()).reading(first).ifPresent(index::placed);
-        index.takeUnsent().forEach(peer::heard);
+        locator(index, Optional.empty()).prefillPlacement(first).ifPresent(index::recordLocal);
+        index.takeUnsent().forEach(peer::recordFromPeer);
         Candidate busy = new Candidate(
                 first.upstream(),
                 new UpstreamEstimate(3, PrefillBacklog.EMPTY.with(1, 150), 100, 0, 0),
                 first.weightsVersion());
-        PromptCache locator = new PromptCache(
+        PrefixLocator locator = new PrefixLocator(
                 peer, PROMPT, FleetFixtures.PROFILE, Optional.empty(), Optional.empty(), List.of(busy, second));
-        assertTrue(locator.isReading(busy));
+        assertTrue(locator.isPrefilling(busy));
         assertEquals(locator.fastestSource(second), Optional.empty(), "a prefill in progress cannot be copied");
         UpstreamChooser chooser = new UpstreamChooser(new ChoiceSettings("z", 30, 70));
         PromptRequest request = new PromptRequest(PROMPT, FleetFixtures.PROFILE, 1, 1, 500);
-        Choice choice =
+        UpstreamChoice choice =
                 chooser.chooseForPrompt(List.of(busy, second), request, locator).orElseThrow();
         assertEquals(choice.candidate(), busy);
-        locator.placements(busy, false).forEach(peer::heard);
+        locator.placementsAfterPrefill(busy, false).forEach(peer::recordFromPeer);
         assertFalse(
-                locator(peer, Optional.empty()).isReading(first), "the response has started, so the prefill has ended");
+                locator(peer, Optional.empty()).isPrefilling(first),
+                "the response has started, so the prefill has ended");
         assertTrue(locator(peer, Optional.empty()).holds(first));
     }
 
@@ -128,14 +129,15 @@
                                 new UpstreamEstimate(3, PrefillBacklog.EMPTY.with(1, 50), 100, 0, 0),
                                 preferred.weightsVersion()))
                 .toList();
-        PromptCache locator = new PromptCache(
+        PrefixLocator locator = new PrefixLocator(
                 new PlacementIndex(), PROMPT, FleetFixtures.PROFILE, Optional.empty(), Optional.empty(), loaded);
-        Choice choice = chooser.chooseForPrompt(loaded, request, locator).orElseThrow();
+        UpstreamChoice choice =
+                chooser.chooseForPrompt(loaded, request, locator).orElseThrow();
         assertEquals(choice.candidate().upstream(), preferred.upstream());
     }
 
-    private PromptCache locator(PlacementIndex index, Optional<String> isolatedAccount) {
-        return new PromptCache(
+    private PrefixLocator locator(PlacementIndex index, Optional<String> isolatedAccount) {
+        return new PrefixLocator(
                 index,
                 PROMPT,
                 FleetFixtures.PROFILE,
--- a/agatelane-core/src/test/java/io/agatelane/core/fleet/RolloutSelectorTest.java
+++ b/agatelane-core/src/test/java/io/agatelane/core/fleet/RolloutSelectorTest.java
@@ -3,7 +3,7 @@
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
 
-import io.agatelane.core.fleet.query.RolloutPlan;
+import io.agatelane.core.fleet.query.RolloutSelector;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
@@ -39,11 +39,11 @@
     public void drainingEngineIsNotSelected() {
         FleetUpstream draining =
                 new FleetUpstream("a", 1, "engines", "10.0.0.1:80", "z", 8, true, Map.of(FleetFixtures.MODEL, 1L));
-        assertFalse(RolloutPlan.isOutdated(draining, NEWEST));
+        assertFalse(RolloutSelector.isOutdated(draining, NEWEST));
     }
 
     private static List<String> next(List<FleetUpstream> fleet, Set<String> reserved, int maxReserved) {
-        return RolloutPlan.next(fleet, NEWEST, reserved, maxReserved, upstream -> 0).stream()
+        return RolloutSelector.selectNext(fleet, NEWEST, reserved, maxReserved, upstream -> 0).stream()
                 .map(FleetUpstream::id)
                 .toList();
     }
--- a/agatelane-core/src/test/java/io/agatelane/core/limits/AccountLimiterTest.java
+++ b/agatelane-core/src/test/java/io/agatelane/core/limits/AccountLimiterTest.java
@@ -81,9 +81,9 @@
         AccountLimiter limiter = new AccountLimiter(new AccountTable());
         ClientAccount account = account("a", RATE, BURST);
         limiter.admit(account, BURST, 0, 0);
-        limiter.settle(account, -BURST, 0);
+        limiter.correctCharge(account, -BURST, 0);
         limiter.admit(account, BURST, 0, 0);
-        limiter.settle(account, RATE, 0);
+        limiter.correctCharge(account, RATE, 0);
         expectThrows(AgatelaneException.class, () -> limiter.admit(account, 1, 0, 900));
         limiter.admit(account, 1, 0, 1_100);
     }
@@ -107,7 +107,7 @@
                 // Most of the demand is at two routers; which ones changes every 10 s.
                 int busy = i + now / 10_000;
                 int router = random.nextInt(4) == 0 ? random.nextInt(ROUTERS) : (busy + random.nextInt(2)) % ROUTERS;
-                routers.get(router).ask(all.get(i), REQUEST_TOKENS, now);
+                routers.get(router).recordDemand(all.get(i), REQUEST_TOKENS, now);
                 admitted[i] += tryAdmit(routers.get(router), all.get(i), REQUEST_TOKENS, 0, now) ? REQUEST_TOKENS : 0;
             }
         }
@@ -120,7 +120,8 @@
                 for (int to = 0; to < routers.size(); to++) {
                     if (to != from) {
                         routers.get(to)
-                                .hear(demand.account(), "r" + from, demand.tokensPerSecond(), nowMillis, nowMillis);
+                                .recordPeerDemand(
+                                        demand.account(), "r" + from, demand.tokensPerSecond(), nowMillis, nowMillis);
                     }
                 }
             }
@@ -139,7 +140,7 @@
             int smallAt = random.nextInt(21);
             for (int i = 0; i < 21; i++) {
                 ClientAccount account = i == smallAt ? small : large;
-                limiter.ask(account, 100, step * 50L);
+                limiter.recordDemand(account, 100, step * 50L);
                 if (freeRequests > 0 && tryAdmit(limiter, account, 100, pressure, step * 50L)) {
                     admitted.merge(account.name(), 100L, Long::sum);
                     freeRequests--;
--- a/agatelane-core/src/test/java/io/agatelane/core/membership/SimulatedNetwork.java
+++ b/agatelane-core/src/test/java/io/agatelane/core/membership/SimulatedNetwork.java
@@ -231,7 +231,7 @@
             }
 
             @Override
-            public void revisionHeard(String member, long revision) {}
+            public void configRevisionReceived(String member, long revision) {}
 
             @Override
             public void hintReceived(Hint hint) {
--- a/agatelane-core/src/test/java/io/agatelane/core/membership/SwimFailureTest.java
+++ b/agatelane-core/src/test/java/io/agatelane/core/membership/SwimFailureTest.java
@@ -144,7 +144,7 @@
             SimulatedNetwork.Node node = network.node("r" + i);
             network.start(node);
             network.run(10);
-            node.protocol.learn(listed, network.nowMillis());
+            node.protocol.updatePlatformMembers(listed, network.nowMillis());
         }
         long millis = network.runUntilConsistent(60_000);
         System.out.printf("herd_restart_with_outdated_list_ms=%d members=45 outdated=5%n", millis);
--- a/agatelane-core/src/test/java/io/agatelane/core/poison/QuarantineTest.java
+++ b/agatelane-core/src/test/java/io/agatelane/core/poison/QuarantineTest.java
@@ -16,31 +16,31 @@
     // Guards against a request that crashes a third engine, whichever routers observed the first two crashes.
     @Test
     public void twoCrashesQuarantine() {
-        recorder.crashed("local", 0);
+        recorder.recordCrash("local", 0);
         assertTrue(check.isSuspect("local", 1));
         assertFalse(check.isQuarantined("local", 1));
-        recorder.crashed("local", 10);
+        recorder.recordCrash("local", 10);
         assertTrue(check.isQuarantined("local", 11));
-        recorder.crashed("split", 0);
-        assertTrue(recorder.heard("split", 1, 600_000, 10));
+        recorder.recordCrash("split", 0);
+        assertTrue(recorder.mergeRemoteCrashes("split", 1, 600_000, 10));
         assertTrue(check.isQuarantined("split", 11));
     }
 
     // Guards against a repeated report that counts one crash twice.
     @Test
     public void repeatedReportCountsOnce() {
-        assertFalse(recorder.heard("x", 1, 600_000, 0));
-        assertFalse(recorder.heard("x", 1, 600_000, 1));
+        assertFalse(recorder.mergeRemoteCrashes("x", 1, 600_000, 0));
+        assertFalse(recorder.mergeRemoteCrashes("x", 1, 600_000, 1));
         assertEquals(check.crashes("x", 2), 1);
     }
 
     // Guards against a quarantine that never expires.
     @Test
     public void quarantineEnds() {
-        recorder.crashed("y", 0);
-        recorder.crashed("y", 0);
+        recorder.recordCrash("y", 0);
+        recorder.recordCrash("y", 0);
         assertTrue(check.isQuarantined("y", SuspectTable.QUARANTINE_MILLIS - 1));
         assertFalse(check.isSuspect("y", SuspectTable.QUARANTINE_MILLIS));
-        assertEquals(recorder.crashed("y", SuspectTable.QUARANTINE_MILLIS).crashes(), 1);
+        assertEquals(recorder.recordCrash("y", SuspectTable.QUARANTINE_MILLIS).crashes(), 1);
     }
 }
--- a/agatelane-core/src/test/java/io/agatelane/core/routing/EngineChooserTest.java
+++ b/agatelane-core/src/test/java/io/agatelane/core/routing/EngineChooserTest.java
@@ -7,8 +7,8 @@
 import io.agatelane.core.hash.PromptDigester;
 import io.agatelane.core.hash.Rendezvous;
 import io.agatelane.core.model.RoutingPolicy;
-import io.agatelane.core.routing.query.ChoiceRules;
-import io.agatelane.core.routing.query.Chooser;
+import io.agatelane.core.routing.query.ChoiceConstraints;
+import io.agatelane.core.routing.query.EngineChooser;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashSet;
@@ -19,7 +19,8 @@
 import org.testng.annotations.Test;
 
 public class EngineChooserTest {
-    private static final ChoiceRules CONSTRAINTS = new ChoiceRules(RoutingPolicy.DEFAULT, 1, upstream -> false);
+    private static final ChoiceConstraints CONSTRAINTS =
+            new ChoiceConstraints(RoutingPolicy.DEFAULT, 1, upstream -> false);
 
     private final HintTable hints = new HintTable(12);
     private final PrefixRates rates = new PrefixRates(10);
@@ -33,7 +34,7 @@
         UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(3);
         for (int i = 0; i < 200; i++) {
             RequestProfile request = request("a/v1", "document " + i, random.nextLong());
-            Decision decision = new Chooser(hints, rates).choose(fleet, request, CONSTRAINTS, 0);
+            Decision decision = new EngineChooser(hints, rates).choose(fleet, request, CONSTRAINTS, 0);
             Set<UpstreamState> candidates = new HashSet<>();
             for (int c = 0; c < decision.count(); c++) {
                 candidates.add(decision.upstream(c));
@@ -55,9 +56,9 @@
         UpstreamState first = choose(engines, request, 0);
         for (UpstreamState engine : engines) {
             if (engine != first) {
-                engine.setLeavingByConfig(true);
+                engine.setDrainingByConfig(true);
                 assertEquals(choose(engines, request, 0), first);
-                engine.setLeavingByConfig(false);
+                engine.setDrainingByConfig(false);
             }
         }
     }
@@ -93,12 +94,12 @@
         UpstreamState engine = engines(1).get(0);
         assertTrue(engine.isReady("m", "v1"));
         assertTrue(!engine.isReady("m", "v2") && !engine.isReady("other", "v1"));
-        engine.setLeavingByConfig(true);
+        engine.setDrainingByConfig(true);
         assertTrue(!engine.isReady("m", "v1"));
-        engine.setLeavingByConfig(false);
-        engine.setLeavingByPeer(true, 0);
+        engine.setDrainingByConfig(false);
+        engine.setDrainingByPeer(true, 0);
         assertTrue(!engine.isReady("m", "v1"));
-        engine.setLeavingByPeer(false, 0);
+        engine.setDrainingByPeer(false, 0);
         engine.setReport(new LoadReport("1", "m", "v1", true, 4, 0, 0, 1_000, 10, 0));
         assertTrue(!engine.isReady("m", "v1"));
     }
@@ -134,7 +135,7 @@
             engine.recordSent(0, false, nowMillis);
             used.add(engine);
         }
-        assertTrue(used.size() > Chooser.MIN_PREFERRED, "engines used: " + used.size());
+        assertTrue(used.size() > EngineChooser.MIN_PREFERRED, "engines used: " + used.size());
     }
 
     // Guards against an engine on probation that receives normal traffic, or none at all so that its probation never
@@ -176,7 +177,7 @@
 
     private UpstreamState choose(List<UpstreamState> engines, RequestProfile request, long nowMillis) {
         ModelFleet fleet = new ModelFleet("m", "v1", engines, "zone-a");
-        Decision decision = new Chooser(hints, rates).choose(fleet, request, CONSTRAINTS, nowMillis);
+        Decision decision = new EngineChooser(hints, rates).choose(fleet, request, CONSTRAINTS, nowMillis);
         return decision.best() < 0 ? null : decision.upstream(decision.best());
     }
 
--- a/agatelane-core/src/test/java/io/agatelane/core/routing/RoutingSimulation.java
+++ b/agatelane-core/src/test/java/io/agatelane/core/routing/RoutingSimulation.java
@@ -3,9 +3,9 @@
 import io.agatelane.core.hash.PromptDigester;
 import io.agatelane.core.hash.PromptDigests;
 import io.agatelane.core.model.RoutingPolicy;
-import io.agatelane.core.routing.command.ProbationReview;
-import io.agatelane.core.routing.query.ChoiceRules;
-import io.agatelane.core.routing.query.Chooser;
+import io.agatelane.core.routing.command.StragglerProbation;
+import io.agatelane.core.routing.query.ChoiceConstraints;
+import io.agatelane.core.routing.query.EngineChooser;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.Comparator;
@@ -153,7 +153,7 @@
         private final boolean probation;
         private HintTable hints;
         private PrefixRates rates;
-        private Chooser chooser;
+        private EngineChooser chooser;
         private double expectedMillis;
         private int restartEvery = Integer.MAX_VALUE;
         private int choices;
@@ -172,7 +172,7 @@
         private void restart() {
             hints = new HintTable(14);
             rates = new PrefixRates(12);
-            chooser = new Chooser(hints, rates);
+            chooser = new EngineChooser(hints, rates);
         }
 
         @Override
@@ -185,7 +185,7 @@
                     "v1",
                     simulation.engines.stream().map(engine -> engine.state).toList(),
                     "zone-a");
-            ChoiceRules constraints = new ChoiceRules(RoutingPolicy.DEFAULT, 1, upstream -> false);
+            ChoiceConstraints constraints = new ChoiceConstraints(RoutingPolicy.DEFAULT, 1, upstream -> false);
             Decision decision = chooser.choose(fleet, request, constraints, nowMillis);
             UpstreamState best = decision.upstream(decision.best());
             if (best.probation()) {
@@ -214,7 +214,7 @@
         @Override
         public void reported(RoutingSimulation simulation, long nowMillis) {
             if (probation) {
-                var unused = ProbationReview.review(
+                var unused = StragglerProbation.update(
                         simulation.engines.stream().map(engine -> engine.state).toList(), nowMillis);
             }
         }
--- a/agatelane-core/src/test/java/io/agatelane/core/routing/StragglerProbationTest.java
+++ b/agatelane-core/src/test/java/io/agatelane/core/routing/StragglerProbationTest.java
@@ -4,7 +4,7 @@
 import static org.testng.Assert.assertFalse;
 import static org.testng.Assert.assertTrue;
 
-import io.agatelane.core.routing.command.ProbationReview;
+import io.agatelane.core.routing.command.StragglerProbation;
 import java.util.List;
 import org.testng.annotations.Test;
 
@@ -17,11 +17,11 @@
         for (int i = 0; i < 5; i++) {
             engines.forEach(engine -> engine.recordLatencyFactor(engine == slow ? 10 : 1, 0));
         }
-        assertEquals(ProbationReview.review(engines, 0), List.of(slow));
+        assertEquals(StragglerProbation.update(engines, 0), List.of(slow));
         for (int i = 0; i < 4; i++) {
             slow.recordLatencyFactor(1, 2_000);
         }
-        assertEquals(ProbationReview.review(engines, 2_000), List.of(slow));
+        assertEquals(StragglerProbation.update(engines, 2_000), List.of(slow));
         assertFalse(slow.probation());
     }
 
@@ -31,13 +31,13 @@
     public void comparesWithPeers() {
         List<UpstreamState> engines = EngineChooserTest.engines(8);
         engines.forEach(engine -> engine.recordLatencyFactor(40, 0));
-        assertTrue(ProbationReview.review(engines, 0).isEmpty());
+        assertTrue(StragglerProbation.update(engines, 0).isEmpty());
         List<UpstreamState> pair = EngineChooserTest.engines(2);
         for (int i = 0; i < 5; i++) {
             pair.get(0).recordLatencyFactor(1, 0);
             pair.get(1).recordLatencyFactor(10, 0);
         }
-        assertEquals(ProbationReview.review(pair, 0), List.of(pair.get(1)));
+        assertEquals(StragglerProbation.update(pair, 0), List.of(pair.get(1)));
     }
 
     // Guards against old samples that keep an idle engine on probation.
@@ -48,7 +48,7 @@
         for (int i = 0; i < 5; i++) {
             engines.get(0).recordLatencyFactor(20, 0);
         }
-        assertEquals(ProbationReview.review(engines, 0).size(), 1);
-        assertEquals(ProbationReview.review(engines, 60_000), List.of(engines.get(0)));
+        assertEquals(StragglerProbation.update(engines, 0).size(), 1);
+        assertEquals(StragglerProbation.update(engines, 60_000), List.of(engines.get(0)));
     }
 }
--- a/agatelane-core/src/test/java/io/agatelane/core/routing/query/VersionSelectorTest.java
+++ b/agatelane-core/src/test/java/io/agatelane/core/routing/query/VersionSelectorTest.java
@@ -25,7 +25,7 @@
 
     @Test
     public void requestsAreSharedInProportionToTheEngines() {
-        VersionChoice selector = selector(6, 2);
+        VersionSelector selector = selector(6, 2);
         int served = 0;
         for (int seed = 0; seed < REQUESTS; seed++) {
             served += selector.choose("v2", seed).equals("v2") ? 1 : 0;
@@ -34,7 +34,7 @@
         assertTrue(Math.abs(served - REQUESTS / 4) < REQUESTS / 40, "new weights served " + served);
     }
 
-    private static VersionChoice selector(int oldEngines, int newEngines) {
+    private static VersionSelector selector(int oldEngines, int newEngines) {
         List<UpstreamState> states = new ArrayList<>();
         for (int i = 0; i < oldEngines + newEngines; i++) {
             UpstreamState state = new UpstreamState("engine-" + i, "zone-a", 1);
@@ -47,6 +47,6 @@
         for (String version : List.of("v1", "v2")) {
             fleets.put(version, new ModelFleet("model", version, states, "zone-a"));
         }
-        return VersionChoice.of(fleets);
+        return VersionSelector.of(fleets);
     }
 }
--- a/agatelane-lab/src/main/java/io/agatelane/lab/bench/DecisionBenchmark.java
+++ b/agatelane-lab/src/main/java/io/agatelane/lab/bench/DecisionBenchmark.java
@@ -10,8 +10,8 @@
 import io.agatelane.core.routing.PrefixRates;
 import io.agatelane.core.routing.RequestProfile;
 import io.agatelane.core.routing.UpstreamState;
-import io.agatelane.core.routing.query.ChoiceRules;
-import io.agatelane.core.routing.query.Chooser;
+import io.agatelane.core.routing.query.ChoiceConstraints;
+import io.agatelane.core.routing.query.EngineChooser;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
@@ -60,8 +60,8 @@
     private final List<PromptDigests> prompts = new ArrayList<>();
     private final List<RequestProfile> profiles = new ArrayList<>();
     private final List<RequestProfile> newProfiles = new ArrayList<>();
-    private final ChoiceRules rules = new ChoiceRules(RoutingPolicy.DEFAULT, 8, upstream -> false);
-    private Chooser chooser;
+    private final ChoiceConstraints constraints = new ChoiceConstraints(RoutingPolicy.DEFAULT, 8, upstream -> false);
+    private EngineChooser chooser;
     private int nextPrompt;
 
     /** Builds the fleets and prompts. */
@@ -81,7 +81,7 @@
             profiles.add(new RequestProfile("m", prompts.get(i), 100, random.nextLong()));
             newProfiles.add(new RequestProfile("m", prompt(i, true), 100, random.nextLong()));
         }
-        chooser = new Chooser(hints, rates);
+        chooser = new EngineChooser(hints, rates);
         for (RequestProfile profile : profiles) {
             recordPlacement(profile, random);
         }
@@ -91,14 +91,14 @@
     @Benchmark
     public Decision choose() {
         int index = nextPrompt++ & (PROMPTS - 1);
-        return chooser.choose(fleets.get(index % fleets.size()), profiles.get(index), rules, NOW_MILLIS);
+        return chooser.choose(fleets.get(index % fleets.size()), profiles.get(index), constraints, NOW_MILLIS);
     }
 
     /** Decides for a prompt with six levels that no recent request had. */
     @Benchmark
     public Decision chooseAllNew() {
         int index = nextPrompt++ & (PROMPTS - 1);
-        return chooser.choose(fleets.get(index % fleets.size()), newProfiles.get(index), rules, NOW_MILLIS);
+        return chooser.choose(fleets.get(index % fleets.size()), newProfiles.get(index), constraints, NOW_MILLIS);
     }
 
     /** Selects the prefix levels of a prompt and decides for it. */
@@ -106,7 +106,7 @@
     public Decision profileAndChoose() {
         int index = nextPrompt++ & (PROMPTS - 1);
         RequestProfile profile = new RequestProfile("m", prompts.get(index), 100, index);
-        return chooser.choose(fleets.get(index % fleets.size()), profile, rules, NOW_MILLIS);
+        return chooser.choose(fleets.get(index % fleets.size()), profile, constraints, NOW_MILLIS);
     }
 
     private void recordPlacement(RequestProfile profile, UniformRandomProvider random) {
--- a/agatelane-lab/src/main/java/io/agatelane/lab/capacity/BookingGrowth.java
+++ b/agatelane-lab/src/main/java/io/agatelane/lab/capacity/BookingGrowth.java
@@ -1,14 +1,14 @@
 package io.agatelane.lab.capacity;
 
-import io.agatelane.core.booking.Answer;
 import io.agatelane.core.booking.AttemptId;
 import io.agatelane.core.booking.Booking;
 import io.agatelane.core.booking.BookingKey;
-import io.agatelane.core.booking.BookingRules;
+import io.agatelane.core.booking.BookingLimits;
 import io.agatelane.core.booking.LoadedPartition;
 import io.agatelane.core.booking.SealedRef;
 import io.agatelane.core.booking.Segment;
-import io.agatelane.core.booking.command.Now;
+import io.agatelane.core.booking.ServiceResponse;
+import io.agatelane.core.booking.command.EventTime;
 import io.agatelane.core.booking.command.PartitionMachine;
 import io.agatelane.lab.experiment.Table;
 import java.nio.charset.StandardCharsets;
@@ -23,7 +23,7 @@
     private static final int[] BOOKING_COUNTS = {1_000, 4_000, 16_000};
     private static final int BOOKINGS_PER_SEGMENT = 200;
     private static final int RETRIES = 20_000;
-    private static final Now NOW = new Now(1_000, 1_700_000_000_000L);
+    private static final EventTime NOW = new EventTime(1_000, 1_700_000_000_000L);
     private static final AttemptId RETRY = new AttemptId("router-2", 1, 1);
 
     private BookingGrowth() {}
@@ -51,7 +51,7 @@
             sealed.put(name, new Segment(first, entries, List.of(), "writer"));
             references.add(new SealedRef(name, NOW.epochMillis(), entries.size()));
         }
-        PartitionMachine machine = new PartitionMachine(BookingRules.DEFAULT, "router-1");
+        PartitionMachine machine = new PartitionMachine(BookingLimits.DEFAULT, "router-1");
         machine.ownershipGained(NOW);
         machine.loaded(NOW, new LoadedPartition(1, new Segment(bookings, List.of(), references, "writer"), sealed));
         return machine;
@@ -61,7 +61,7 @@
         byte[] body =
                 ("{\"status\":\"recorded\",\"serial\":\"permits-" + index + "\"}").getBytes(StandardCharsets.UTF_8);
         return Booking.claimed(key(index), new AttemptId("router-1", 1, index), digest(index), NOW.epochMillis())
-                .withFinished(Optional.of(new Answer(200, "application/json", body)));
+                .withFinished(Optional.of(new ServiceResponse(200, "application/json", body)));
     }
 
     private static BookingKey key(int index) {
--- a/agatelane-lab/src/main/java/io/agatelane/lab/capacity/RoutingGrowth.java
+++ b/agatelane-lab/src/main/java/io/agatelane/lab/capacity/RoutingGrowth.java
@@ -8,8 +8,8 @@
 import io.agatelane.core.routing.PrefixRates;
 import io.agatelane.core.routing.RequestProfile;
 import io.agatelane.core.routing.UpstreamState;
-import io.agatelane.core.routing.query.ChoiceRules;
-import io.agatelane.core.routing.query.Chooser;
+import io.agatelane.core.routing.query.ChoiceConstraints;
+import io.agatelane.core.routing.query.EngineChooser;
 import io.agatelane.lab.experiment.Table;
 import java.util.ArrayList;
 import java.util.List;
@@ -31,11 +31,11 @@
             Heap.Measured<List<UpstreamState>> states = Heap.measure(() -> states(upstreams));
             ModelFleet fleet = new ModelFleet("model-0", "w1", states.value(), "zone-0");
             HintTable hints = new HintTable(HINT_BITS);
-            Chooser chooser = new Chooser(hints, new PrefixRates(HINT_BITS));
+            EngineChooser chooser = new EngineChooser(hints, new PrefixRates(HINT_BITS));
             List<RequestProfile> profiles = profiles();
-            ChoiceRules rules = new ChoiceRules(RoutingPolicy.DEFAULT, 370, upstream -> false);
-            double decisionMicros =
-                    Timing.micros(DECISIONS, i -> chooser.choose(fleet, profiles.get(i % PROFILES), rules, i / 100));
+            ChoiceConstraints constraints = new ChoiceConstraints(RoutingPolicy.DEFAULT, 370, upstream -> false);
+            double decisionMicros = Timing.micros(
+                    DECISIONS, i -> chooser.choose(fleet, profiles.get(i % PROFILES), constraints, i / 100));
             double hintMicros = Timing.micros(
                     DECISIONS,
                     i -> hints.put(
--- a/agatelane-lab/src/main/java/io/agatelane/lab/cli/EngineCommand.java
+++ b/agatelane-lab/src/main/java/io/agatelane/lab/cli/EngineCommand.java
@@ -4,8 +4,8 @@
 import com.beust.jcommander.Parameters;
 import io.agatelane.lab.engine.EngineServer;
 import io.agatelane.lab.engine.EngineSettings;
-import io.agatelane.lab.engine.KeptStore;
-import io.agatelane.lab.engine.KeptStores;
+import io.agatelane.lab.engine.KvBlockStore;
+import io.agatelane.lab.engine.KvBlockStores;
 import io.agatelane.lab.http.LabServer;
 
 /** Runs the stand-in for a model engine. */
@@ -71,7 +71,7 @@
                 importMillisPerBlock,
                 orphanMillis,
                 checksFencing);
-        KeptStore blockStore = KeptStores.at(blockStoreUrl);
+        KvBlockStore blockStore = KvBlockStores.at(blockStoreUrl);
         try (EngineServer server = new EngineServer(LabServer.parseAddress(http), settings, blockStore).start()) {
             System.out.println("listening " + server.url());
             server.join();
--- a/agatelane-lab/src/main/java/io/agatelane/lab/demo/Demo.java
+++ b/agatelane-lab/src/main/java/io/agatelane/lab/demo/Demo.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.agatelane.lab.http.LabClient;
-import io.agatelane.lab.http.LabClient.Answer;
+import io.agatelane.lab.http.LabClient.LabResponse;
 import io.agatelane.lab.load.Arrival;
 import io.agatelane.lab.load.ChatReader;
 import io.agatelane.lab.load.LocalSystem;
@@ -72,7 +72,7 @@
     private ChatReader chat(int index, int district, int dossier) {
         Arrival arrival = arrivalOf(index, district, dossier);
         String url = system.routerUrls().get(index % system.routerUrls().size());
-        Answer response = call(
+        LabResponse response = call(
                 url + "/v1/chat/completions",
                 arrival.body(),
                 Map.of("Authorization", "Bearer " + system.apiKeys().get(0)));
@@ -108,12 +108,12 @@
         List<String> serials = new ArrayList<>();
         int unconfirmed = retries;
         for (int round = 0; round < MAX_BOOKING_ROUNDS && unconfirmed > 0; round++) {
-            List<CompletableFuture<Answer>> calls = new ArrayList<>();
+            List<CompletableFuture<LabResponse>> calls = new ArrayList<>();
             for (int i = 0; i < unconfirmed; i++) {
                 calls.add(sendBooking(key, i));
             }
-            for (CompletableFuture<Answer> call : calls) {
-                Answer response = join(call);
+            for (CompletableFuture<LabResponse> call : calls) {
+                LabResponse response = join(call);
                 outcomes.merge(response == null ? "no answer" : "status " + response.status(), 1, Integer::sum);
                 if (response != null && response.status() == 200) {
                     unconfirmed--;
@@ -128,7 +128,7 @@
         check(serials.stream().distinct().count() == 1, "callers got different confirmations");
     }
 
-    private CompletableFuture<Answer> sendBooking(String key, int index) {
+    private CompletableFuture<LabResponse> sendBooking(String key, int index) {
         String url = system.routerUrls().get(index % system.routerUrls().size());
         ObjectNode body = JsonNodeFactory.instance.objectNode().put("permit", "skip-4711");
         Map<String, String> headers =
@@ -136,7 +136,7 @@
         return client.call(HttpMethod.POST, url + system.bookingPaths().get(0), body, headers, TIMEOUT_MILLIS);
     }
 
-    private String serialOf(Answer response, String key) {
+    private String serialOf(LabResponse response, String key) {
         JsonNode confirmation = response.json();
         check(key.equals(confirmation.path("key").asText()), "a confirmation belongs to another booking");
         return confirmation.path("serial").asText();
@@ -150,11 +150,11 @@
         return executions;
     }
 
-    private Answer call(String url, ObjectNode body, Map<String, String> headers) {
+    private LabResponse call(String url, ObjectNode body, Map<String, String> headers) {
         return client.call(HttpMethod.POST, url, body, headers, TIMEOUT_MILLIS).join();
     }
 
-    private static Answer join(CompletableFuture<Answer> call) {
+    private static LabResponse join(CompletableFuture<LabResponse> call) {
         try {
             return call.join();
         } catch (CompletionException e) {
--- a/agatelane-lab/src/main/java/io/agatelane/lab/engine/EngineCore.java
+++ b/agatelane-lab/src/main/java/io/agatelane/lab/engine/EngineCore.java
@@ -43,7 +43,7 @@
     private final EngineFaults faults;
     private final EngineCounters counters = new EngineCounters();
     private final CacheEvents events = new CacheEvents();
-    private final KeptStore blockStore;
+    private final KvBlockStore blockStore;
     private final ScheduledThreadPoolExecutor loop;
     private final PriorityQueue<Generation> waiting =
             new PriorityQueue<>(Comparator.comparingInt((Generation generation) -> generation.request.priority())
@@ -63,7 +63,7 @@
     private volatile String incarnation = newIncarnation();
     private volatile LabEngineState state;
 
-    EngineCore(EngineSettings settings, EngineFaults faults, KeptStore blockStore) {
+    EngineCore(EngineSettings settings, EngineFaults faults, KvBlockStore blockStore) {
         this.settings = settings;
         this.faults = faults;
         this.blockStore = blockStore;
--- a/agatelane-lab/src/main/java/io/agatelane/lab/engine/EngineServer.java
+++ b/agatelane-lab/src/main/java/io/agatelane/lab/engine/EngineServer.java
@@ -29,12 +29,12 @@
     private final EngineFaults faults;
     private final EngineCore core;
     private final OrderExecutor orders;
-    private final KeptStore blockStore;
+    private final KvBlockStore blockStore;
     private final LabServer server;
     private final Set<CompletionWriter> openWriters = ConcurrentHashMap.newKeySet();
     private final AtomicReference<GenerationRequest> lastRequest = new AtomicReference<>();
 
-    public EngineServer(InetSocketAddress address, EngineSettings settings, KeptStore blockStore) {
+    public EngineServer(InetSocketAddress address, EngineSettings settings, KvBlockStore blockStore) {
         this.blockStore = blockStore;
         faults = new EngineFaults(settings.loadLagMillis());
         core = new EngineCore(settings, faults, blockStore);
@@ -79,7 +79,8 @@
      *
      * @param settings the settings that the engine was created with
      */
-    public CompletableFuture<Double> trueFirstTokenMillis(EngineSettings settings, String salt, PromptDigests digests) {
+    public CompletableFuture<Double> estimateFirstTokenMillis(
+            EngineSettings settings, String salt, PromptDigests digests) {
         return core.estimate(salt, digests).thenApply(estimate -> {
             double tokens = estimate.tokensAhead() + digests.tokenCount() - estimate.cachedTokens();
             // A slot becomes free when a running request ends, which on average has half of its output tokens left.
--- a/agatelane-lab/src/main/java/io/agatelane/lab/engine/KeptStore.java
+++ b/agatelane-lab/src/main/java/io/agatelane/lab/engine/KvBlockStore.java
@@ -4,7 +4,7 @@
 import java.util.concurrent.CompletableFuture;
 
 /** Fleet-wide store of saved KV-cache blocks; also counts the weight loads that run at once in the fleet. */
-public interface KeptStore {
+public interface KvBlockStore {
     /** Saves the blocks with these keys. */
     CompletableFuture<Void> save(List<String> keys);
 
--- a/agatelane-lab/src/main/java/io/agatelane/lab/engine/KeptStores.java
+++ b/agatelane-lab/src/main/java/io/agatelane/lab/engine/KvBlockStores.java
@@ -3,13 +3,13 @@
 import io.agatelane.lab.http.LabClient;
 
 /** Creates stores of saved KV-cache blocks. */
-public final class KeptStores {
+public final class KvBlockStores {
     private static final int MAX_BLOCKS = 100_000;
 
-    private KeptStores() {}
+    private KvBlockStores() {}
 
     /** Returns a store in this process for an empty URL, else a client of the store in another engine process. */
-    public static KeptStore at(String url) {
-        return url.isEmpty() ? new LocalKeptStore(MAX_BLOCKS) : new RemoteKvBlockStore(new LabClient(), url);
+    public static KvBlockStore at(String url) {
+        return url.isEmpty() ? new LocalKvBlockStore(MAX_BLOCKS) : new RemoteKvBlockStore(new LabClient(), url);
     }
 }
--- a/agatelane-lab/src/main/java/io/agatelane/lab/engine/LocalKeptStore.java
+++ b/agatelane-lab/src/main/java/io/agatelane/lab/engine/LocalKvBlockStore.java
@@ -8,11 +8,11 @@
 import java.util.concurrent.CompletableFuture;
 
 /** Store of KV-cache blocks in this process; drops the oldest blocks over its limit. */
-public final class LocalKeptStore implements KeptStore {
+public final class LocalKvBlockStore implements KvBlockStore {
     private final Set<String> saved;
     private int loads;
 
-    public LocalKeptStore(int maxBlocks) {
+    public LocalKvBlockStore(int maxBlocks) {
         saved = Collections.newSetFromMap(new LinkedHashMap<>() {
             private static final long serialVersionUID = 1L;
 
--- a/agatelane-lab/src/main/java/io/agatelane/lab/engine/OrderExecutor.java
+++ b/agatelane-lab/src/main/java/io/agatelane/lab/engine/OrderExecutor.java
@@ -8,10 +8,10 @@
 final class OrderExecutor {
     private final EngineCore core;
     private final EngineSettings settings;
-    private final KeptStore blockStore;
+    private final KvBlockStore blockStore;
     private int runningLoads;
 
-    OrderExecutor(EngineCore core, EngineSettings settings, KeptStore blockStore) {
+    OrderExecutor(EngineCore core, EngineSettings settings, KvBlockStore blockStore) {
         this.core = core;
         this.settings = settings;
         this.blockStore = blockStore;
--- a/agatelane-lab/src/main/java/io/agatelane/lab/engine/RemoteKvBlockStore.java
+++ b/agatelane-lab/src/main/java/io/agatelane/lab/engine/RemoteKvBlockStore.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.CompletableFuture;
 
 /** Client of the block store in another engine process. */
-final class RemoteKvBlockStore implements KeptStore {
+final class RemoteKvBlockStore implements KvBlockStore {
     private final LabClient client;
     private final String url;
 
--- a/agatelane-lab/src/main/java/io/agatelane/lab/experiment/Fleet.java
+++ b/agatelane-lab/src/main/java/io/agatelane/lab/experiment/Fleet.java
@@ -2,8 +2,8 @@
 
 import io.agatelane.lab.engine.EngineServer;
 import io.agatelane.lab.engine.EngineSettings;
-import io.agatelane.lab.engine.KeptStore;
-import io.agatelane.lab.engine.LocalKeptStore;
+import io.agatelane.lab.engine.KvBlockStore;
+import io.agatelane.lab.engine.LocalKvBlockStore;
 import io.agatelane.lab.http.LabServer;
 import java.util.ArrayList;
 import java.util.List;
@@ -22,7 +22,7 @@
     /** Starts engines with equal settings and one shared block store. */
     static Fleet start(EngineSettings settings, int count) {
         Fleet fleet = new Fleet(settings);
-        KeptStore blockStore = new LocalKeptStore(STORED_BLOCKS);
+        KvBlockStore blockStore = new LocalKvBlockStore(STORED_BLOCKS);
         for (int i = 0; i < count; i++) {
             fleet.engines.add(new EngineServer(LabServer.parseAddress("127.0.0.1:0"), settings, blockStore).start());
         }
--- a/agatelane-lab/src/main/java/io/agatelane/lab/experiment/OracleTarget.java
+++ b/agatelane-lab/src/main/java/io/agatelane/lab/experiment/OracleTarget.java
@@ -37,7 +37,7 @@
         arrival.addMessagesTo(digester);
         PromptDigests digests = digester.build();
         List<CompletableFuture<Double>> estimates = fleet().engines().stream()
-                .map(engine -> engine.trueFirstTokenMillis(fleet().settings(), salt, digests))
+                .map(engine -> engine.estimateFirstTokenMillis(fleet().settings(), salt, digests))
                 .toList();
         int best = 0;
         for (int i = 1; i < estimates.size(); i++) {
--- a/agatelane-lab/src/main/java/io/agatelane/lab/http/LabClient.java
+++ b/agatelane-lab/src/main/java/io/agatelane/lab/http/LabClient.java
@@ -65,9 +65,9 @@
     }
 
     /** Sends a request and completes with the whole response, whatever its status. */
-    public CompletableFuture<Answer> call(
+    public CompletableFuture<LabResponse> call(
             HttpMethod method, String url, ObjectNode body, Map<String, String> headers, long timeoutMillis) {
-        CompletableFuture<Answer> response = new CompletableFuture<>();
+        CompletableFuture<LabResponse> response = new CompletableFuture<>();
         Request request = http.newRequest(url).method(method).timeout(timeoutMillis, TimeUnit.MILLISECONDS);
         request.headers(fields -> headers.forEach(fields::put));
         if (body != null) {
@@ -79,7 +79,7 @@
                 if (result.isFailed()) {
                     response.completeExceptionally(result.getFailure());
                 } else {
-                    response.complete(new Answer(result.getResponse().getStatus(), getContent()));
+                    response.complete(new LabResponse(result.getResponse().getStatus(), getContent()));
                 }
             }
         });
@@ -95,7 +95,7 @@
         }
     }
 
-    private static JsonNode requireOk(Answer response) {
+    private static JsonNode requireOk(LabResponse response) {
         if (response.status() != 200) {
             throw new IllegalStateException("status " + response.status() + ": " + response.text());
         }
@@ -103,11 +103,11 @@
     }
 
     /** Status and body of a response. */
-    public static final class Answer {
+    public static final class LabResponse {
         private final int status;
         private final byte[] content;
 
-        Answer(int status, byte[] content) {
+        LabResponse(int status, byte[] content) {
             this.status = status;
             this.content = content;
         }
--- a/agatelane-lab/src/main/java/io/agatelane/lab/service/ServiceServer.java
+++ b/agatelane-lab/src/main/java/io/agatelane/lab/service/ServiceServer.java
@@ -132,7 +132,7 @@
     }
 
     private void queryPeers(Exchange exchange, String key) {
-        List<CompletableFuture<LabClient.Answer>> responses = peers.stream()
+        List<CompletableFuture<LabClient.LabResponse>> responses = peers.stream()
                 .map(peer -> client.call(
                         HttpMethod.GET,
                         peer + STATUS_PATH + key,
@@ -141,7 +141,7 @@
                         PEER_TIMEOUT_MILLIS))
                 .toList();
         CompletableFuture.allOf(responses.toArray(CompletableFuture[]::new)).handle((done, failure) -> {
-            for (CompletableFuture<LabClient.Answer> response : responses) {
+            for (CompletableFuture<LabClient.LabResponse> response : responses) {
                 if (!response.isCompletedExceptionally() && response.join().status() == 200) {
                     exchange.respond(200, response.join().json());
                     return null;
--- a/agatelane-lab/src/test/java/io/agatelane/lab/engine/EngineServerTest.java
+++ b/agatelane-lab/src/test/java/io/agatelane/lab/engine/EngineServerTest.java
@@ -11,7 +11,7 @@
 import io.agatelane.core.hash.PromptDigester;
 import io.agatelane.core.hash.PromptDigests;
 import io.agatelane.lab.http.LabClient;
-import io.agatelane.lab.http.LabClient.Answer;
+import io.agatelane.lab.http.LabClient.LabResponse;
 import io.agatelane.lab.http.LabServer;
 import io.agatelane.lab.load.ChatReader;
 import java.nio.ByteBuffer;
@@ -36,7 +36,7 @@
 
     @BeforeMethod
     public void start() {
-        engine = newEngine(new LocalKeptStore(100), true);
+        engine = newEngine(new LocalKvBlockStore(100), true);
         client = new LabClient();
     }
 
@@ -54,7 +54,7 @@
         assertEquals(whole.tokens(), 12);
         assertEquals(
                 text, TokenSource.of("m", "v1", "user\n" + LONG_TEXT + "\n").text(12));
-        try (EngineServer other = newEngine(new LocalKeptStore(100), true)) {
+        try (EngineServer other = newEngine(new LocalKvBlockStore(100), true)) {
             String start = text.substring(0, 5 * 4);
             ChatReader rest = read(post(other, "rest", body("s", 12, start, 5)));
             assertEquals(start + rest.text(), text);
@@ -77,7 +77,7 @@
     @Test
     public void retainedStreamIsResumedFromAnOffset() {
         String text = chat("held", "s", 6, "", 0).text();
-        Answer rest = get(engine.url() + "/v1/streams/held?from=4");
+        LabResponse rest = get(engine.url() + "/v1/streams/held?from=4");
         assertTrue(rest.text().startsWith("id: 4\n"));
         assertTrue(rest.text().contains(text.substring(4 * 4, 5 * 4)));
         assertTrue(rest.text().contains("id: 5\n"));
@@ -94,7 +94,7 @@
         awaitIncarnationOtherThan(incarnation);
         assertEquals(chat("after", "s", 1, "", 0).cachedTokens(), 0);
         assertEquals(get(engine.url() + "/v1/streams/before?from=0").status(), 404);
-        Answer refused = call("expects", body("s", 1, "", 0), Map.of("X-Expect-Incarnation", incarnation));
+        LabResponse refused = call("expects", body("s", 1, "", 0), Map.of("X-Expect-Incarnation", incarnation));
         assertEquals(refused.status(), 409);
         assertEquals(refused.json().path("error").path("type").asText(), "incarnation_mismatch");
     }
@@ -128,7 +128,7 @@
                 call("old", body("s", 1, "", 0), Map.of("X-Expect-Weights", "v1"))
                         .status(),
                 409);
-        try (EngineServer unchecked = newEngine(new LocalKeptStore(100), false)) {
+        try (EngineServer unchecked = newEngine(new LocalKvBlockStore(100), false)) {
             assertEquals(order(unchecked, 5, "v2").status(), 200);
             assertEquals(order(unchecked, 4, "v3").status(), 200);
         }
@@ -137,7 +137,7 @@
     /** Guards against saved blocks that cannot be imported by another engine with the same weights. */
     @Test
     public void exportedBlocksAreImportedByAnotherEngine() {
-        KeptStore store = new LocalKeptStore(100);
+        KvBlockStore store = new LocalKvBlockStore(100);
         try (EngineServer first = newEngine(store, true);
                 EngineServer second = newEngine(store, true)) {
             read(post(first, "r1", body("s", 1, "", 0)));
@@ -176,7 +176,7 @@
         assertEquals(call("second", body, Map.of()).json().path("id").asText(), "chatcmpl-first");
     }
 
-    private static EngineServer newEngine(KeptStore store, boolean checksFencing) {
+    private static EngineServer newEngine(KvBlockStore store, boolean checksFencing) {
         EngineSettings settings =
                 EngineSettings.of("m", "v1").withRates(4_000_000, 0.2).withControl(0, 1, checksFencing);
         return new EngineServer(LabServer.parseAddress("127.0.0.1:0"), settings, store).start();
@@ -200,30 +200,30 @@
         return read(call(requestId, body(salt, maxTokens, resumeText, resumeTokens), Map.of()));
     }
 
-    private Answer call(String requestId, ObjectNode body, Map<String, String> headers) {
+    private LabResponse call(String requestId, ObjectNode body, Map<String, String> headers) {
         Map<String, String> all = new HashMap<>(headers);
         all.put("X-Request-Id", requestId);
         return client.call(HttpMethod.POST, engine.url() + "/v1/chat/completions", body, all, TIMEOUT_MILLIS)
                 .join();
     }
 
-    private Answer post(EngineServer server, String requestId, ObjectNode body) {
+    private LabResponse post(EngineServer server, String requestId, ObjectNode body) {
         String url = server.url() + "/v1/chat/completions";
         return client.call(HttpMethod.POST, url, body, Map.of("X-Request-Id", requestId), TIMEOUT_MILLIS)
                 .join();
     }
 
-    private Answer get(String url) {
+    private LabResponse get(String url) {
         return client.call(HttpMethod.GET, url, null, Map.of(), TIMEOUT_MILLIS).join();
     }
 
-    private Answer order(EngineServer server, int fencingNumber, String weightsVersion) {
+    private LabResponse order(EngineServer server, int fencingNumber, String weightsVersion) {
         ObjectNode order = node().put("fencing_number", fencingNumber).put("weights_version", weightsVersion);
         return client.call(HttpMethod.POST, server.url() + "/orders", order, Map.of(), TIMEOUT_MILLIS)
                 .join();
     }
 
-    private static ChatReader read(Answer response) {
+    private static ChatReader read(LabResponse response) {
         assertEquals(response.status(), 200, response.text());
         ChatReader reader = new ChatReader(() -> {});
         reader.feed(ByteBuffer.wrap(response.text().getBytes(StandardCharsets.UTF_8)));
--- a/agatelane-lab/src/test/java/io/agatelane/lab/path/LocalDeployment.java
+++ b/agatelane-lab/src/test/java/io/agatelane/lab/path/LocalDeployment.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.ObjectMapper;
 import io.agatelane.lab.engine.EngineServer;
 import io.agatelane.lab.engine.EngineSettings;
-import io.agatelane.lab.engine.LocalKeptStore;
+import io.agatelane.lab.engine.LocalKvBlockStore;
 import io.agatelane.lab.http.LabServer;
 import io.agatelane.lab.operator.LabOperatorClient;
 import io.agatelane.lab.platform.PlatformServer;
@@ -50,7 +50,7 @@
     LocalDeployment() throws Exception {
         EngineSettings engine = EngineSettings.of(MODEL, "v1").withRates(PREFILL_TOKENS_PER_SECOND, TOKEN_MILLIS);
         for (int i = 0; i < ENGINES; i++) {
-            engines.add(new EngineServer(anyPort(), engine, new LocalKeptStore(1_000)).start());
+            engines.add(new EngineServer(anyPort(), engine, new LocalKvBlockStore(1_000)).start());
         }
         // The instances have no peers, so that each counts only its own executions.
         services.add(new ServiceServer(anyPort(), "permits-0", List.of()).start());
--- a/agatelane-lab/src/test/java/io/agatelane/lab/service/ServiceServerTest.java
+++ b/agatelane-lab/src/test/java/io/agatelane/lab/service/ServiceServerTest.java
@@ -7,7 +7,7 @@
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.agatelane.lab.http.LabClient;
-import io.agatelane.lab.http.LabClient.Answer;
+import io.agatelane.lab.http.LabClient.LabResponse;
 import io.agatelane.lab.http.LabServer;
 import java.util.List;
 import java.util.Map;
@@ -72,13 +72,13 @@
         return new ServiceServer(LabServer.parseAddress("127.0.0.1:0"), name, peers).start();
     }
 
-    private Answer run(ServiceServer server, String key) {
+    private LabResponse run(ServiceServer server, String key) {
         ObjectNode body = JsonNodeFactory.instance.objectNode();
         return client.call(HttpMethod.POST, server.url() + "/renewals", body, Map.of("Idempotency-Key", key), 5_000)
                 .join();
     }
 
-    private Answer status(ServiceServer server, String key) {
+    private LabResponse status(ServiceServer server, String key) {
         return client.call(HttpMethod.GET, server.url() + "/status/" + key, null, Map.of(), 5_000)
                 .join();
     }
--- a/agatelane-node/src/main/java/io/agatelane/node/api/EngineControl.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/api/EngineControl.java
@@ -16,5 +16,5 @@
      *
      * @return fails with {@code WRITE_OUTCOME_UNKNOWN} when there was no response: the order may still be carried out
      */
-    CompletableFuture<OrderAnswer> load(FleetUpstream upstream, WeightsOrder order);
+    CompletableFuture<OrderResponse> loadWeights(FleetUpstream upstream, WeightsOrder order);
 }
--- a/agatelane-node/src/main/java/io/agatelane/node/api/FleetPorts.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/api/FleetPorts.java
@@ -3,7 +3,7 @@
 /** The interfaces through which a fleet router uses one platform: its store, its HTTP conventions and its engines. */
 public record FleetPorts(
         ConditionalStore store,
-        FleetSource source,
-        CallerProtocol callers,
-        UpstreamProtocol upstreams,
-        EngineControl engines) {}
+        FleetSource fleetSource,
+        CallerProtocol callerProtocol,
+        UpstreamProtocol upstreamProtocol,
+        EngineControl engineControl) {}
--- a/agatelane-node/src/main/java/io/agatelane/node/api/FleetRead.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/api/FleetReadResult.java
@@ -8,10 +8,10 @@
  *
  * @param view what the operator and the upstreams have written
  * @param content identifies the entries from which the view was built
- * @param routerItems what the routers themselves have written
+ * @param routerEntries what the routers themselves have written
  */
-public record FleetRead(FleetView view, StoreContent content, List<KeyValue> routerItems) {
-    public FleetRead {
-        routerItems = List.copyOf(routerItems);
+public record FleetReadResult(FleetView view, StoreContentId content, List<KeyValue> routerEntries) {
+    public FleetReadResult {
+        routerEntries = List.copyOf(routerEntries);
     }
 }
--- a/agatelane-node/src/main/java/io/agatelane/node/api/FleetSource.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/api/FleetSource.java
@@ -9,5 +9,5 @@
      *
      * @return fails with {@code PLATFORM_UNAVAILABLE} when the store returned no usable response
      */
-    CompletableFuture<FleetRead> read();
+    CompletableFuture<FleetReadResult> read();
 }
--- a/agatelane-node/src/main/java/io/agatelane/node/api/DigestExchange.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/api/GossipHintExchange.java
@@ -6,7 +6,7 @@
 import java.util.function.Consumer;
 
 /** Exchanges small hints by gossip. Hints may be lost, late or repeated, so correctness must not depend on them. */
-public interface DigestExchange {
+public interface GossipHintExchange {
     /** Sends to the routers of this availability zone. */
     void publish(UpstreamDigest digest);
 
--- a/agatelane-node/src/main/java/io/agatelane/node/api/OrderAnswer.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/api/OrderResponse.java
@@ -1,7 +1,7 @@
 package io.agatelane.node.api;
 
 /** Response of an engine to an order. */
-public enum OrderAnswer {
+public enum OrderResponse {
     /** The engine accepted the order and is carrying it out. */
     STARTED,
     /** The engine already holds the ordered weights. */
--- a/agatelane-node/src/main/java/io/agatelane/node/api/UpstreamCall.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/api/UpstreamCall.java
@@ -15,7 +15,7 @@
  * @param cacheSalt namespace of cached prompt parts
  * @param cacheSource address from which the upstream may fetch cached prompt parts
  * @param cacheStore address to which the upstream saves the prompt parts that it has prefilled
- * @param resumeAfter id of the last event that the caller has received from an earlier run
+ * @param resumeAfterEventId id of the last event that the caller has received from an earlier run
  */
 public record UpstreamCall(
         String upstreamId,
@@ -26,4 +26,4 @@
         Optional<String> cacheSalt,
         Optional<String> cacheSource,
         Optional<String> cacheStore,
-        Optional<String> resumeAfter) {}
+        Optional<String> resumeAfterEventId) {}
--- a/agatelane-node/src/main/java/io/agatelane/node/api/UpstreamProtocol.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/api/UpstreamProtocol.java
@@ -8,8 +8,8 @@
     void encode(HttpFields callerHeaders, UpstreamCall call, HttpFields.Mutable headers);
 
     /** Decodes status and headers of a response. */
-    UpstreamAnswer decode(int status, HttpFields headers);
+    UpstreamResponse decode(int status, HttpFields headers);
 
     /** Copies the headers of a response that are passed on to the caller. */
-    void relay(HttpFields upstreamHeaders, HttpFields.Mutable callerHeaders);
+    void copyResponseHeaders(HttpFields upstreamHeaders, HttpFields.Mutable callerHeaders);
 }
--- a/agatelane-node/src/main/java/io/agatelane/node/api/UpstreamAnswer.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/api/UpstreamResponse.java
@@ -12,16 +12,16 @@
  *     not have the expected weights
  * @param upstreamId id of the responding upstream; empty when not stated
  * @param signed whether the upstream signed status and body
- * @param encoded whether the body has a content encoding, that is, was transformed on the way
+ * @param contentEncoded whether the body has a content encoding, that is, was transformed on the way
  * @param load empty when the upstream does not report its load
  * @param weightsVersion version of the weights that produced the response
  */
-public record UpstreamAnswer(
+public record UpstreamResponse(
         Optional<String> requestId,
         boolean notExecuted,
         boolean refusedExpectation,
         Optional<String> upstreamId,
         boolean signed,
-        boolean encoded,
+        boolean contentEncoded,
         Optional<ReportedLoad> load,
         OptionalLong weightsVersion) {}
--- a/agatelane-node/src/main/java/io/agatelane/node/cfg/FleetSettings.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/cfg/FleetSettings.java
@@ -12,8 +12,8 @@
  * @param storeAddress IP:PORT of the platform's store
  * @param storeTimeoutMillis longest wait for a response of the store
  * @param pollMillis pause between two reads of the store
- * @param maxProofMillis longest time since the configuration was last verified as current; a request with an API key is
- *     not forwarded when more time has passed
+ * @param maxConfigAgeMillis longest time since the configuration was last verified as current; a request with an API
+ *     key is not forwarded when more time has passed
  * @param graceMillis time between SIGTERM and the end of the process
  * @param leaseMillis shortest time between the orders of two successive lease holders
  * @param upstreamsCheckFencing whether engines refuse orders with a lower fencing token than one they have seen
@@ -34,7 +34,7 @@
         String storeAddress,
         long storeTimeoutMillis,
         long pollMillis,
-        long maxProofMillis,
+        long maxConfigAgeMillis,
         long graceMillis,
         long leaseMillis,
         boolean upstreamsCheckFencing,
--- a/agatelane-node/src/main/java/io/agatelane/node/config/ConfigReader.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/config/ConfigReader.java
@@ -4,8 +4,8 @@
 import io.agatelane.core.config.ConfigState;
 import io.agatelane.core.config.Head;
 import io.agatelane.core.config.ShardLayout;
-import io.agatelane.core.config.command.ForwardReader;
-import io.agatelane.core.config.command.HeadVerdict;
+import io.agatelane.core.config.command.HeadRelation;
+import io.agatelane.core.config.command.MonotonicConfig;
 import io.agatelane.core.config.command.ShardAssembly;
 import io.agatelane.core.failure.AgatelaneException;
 import io.agatelane.core.failure.FailureType;
@@ -45,7 +45,7 @@
     private final Counter refusedHeads;
     private final Counter platformReads;
     private final Counter peerReads;
-    private final ForwardReader monotonicConfig = new ForwardReader();
+    private final MonotonicConfig monotonicConfig = new MonotonicConfig();
     private Consumer<LoadedConfig> onAdvance = loaded -> {};
     private Consumer<KeyValue> onRegressed = head -> {};
     private LoadedConfig loaded = LoadedConfig.empty();
@@ -99,8 +99,8 @@
      */
     CompletableFuture<Void> advanceTo(KeyValue headValue) {
         Head head = headValue.value().length == 0 ? Head.empty() : StoreCodec.decodeHead(headValue.value());
-        HeadVerdict verdict = monotonicConfig.assess(head);
-        return switch (verdict) {
+        HeadRelation relation = monotonicConfig.assess(head);
+        return switch (relation) {
             case CURRENT -> CompletableFuture.completedFuture(null);
             case NEWER -> fetchFromPlatform(new MessageAssembly(head));
             case REGRESSED -> {
@@ -146,12 +146,12 @@
     private CompletableFuture<Void> handlePeerResponse(
             String vmName, ConfigAnswer response, List<ConfigShard> fetched, int round) {
         Head head = StoreCodec.decode(response.getHead());
-        HeadVerdict verdict = monotonicConfig.assess(head);
-        if (verdict == HeadVerdict.DIVERGED) {
+        HeadRelation relation = monotonicConfig.assess(head);
+        if (relation == HeadRelation.DIVERGED) {
             logRefusedHead("config_head_diverged", head, vmName);
             return CompletableFuture.failedFuture(diverged(head));
         }
-        if (verdict != HeadVerdict.NEWER) {
+        if (relation != HeadRelation.NEWER) {
             return CompletableFuture.completedFuture(null);
         }
         MessageAssembly assembly =
--- a/agatelane-node/src/main/java/io/agatelane/node/config/ConfigService.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/config/ConfigService.java
@@ -140,7 +140,7 @@
 
     /** Creates or replaces an object. */
     public CompletableFuture<ApplyResponse> apply(ApplyRequest request) {
-        return Futures.on(context.control(), () -> {
+        return Futures.callOn(context.control(), () -> {
             ConfigObject object = request.getObject();
             ChangeRequest change = new ChangeRequest(
                     request.getChangeId(),
@@ -160,7 +160,7 @@
 
     /** Deletes an object. */
     public CompletableFuture<DeleteResponse> delete(DeleteRequest request) {
-        return Futures.on(context.control(), () -> {
+        return Futures.callOn(context.control(), () -> {
             ChangeRequest change = new ChangeRequest(
                     request.getChangeId(),
                     ObjectCodec.key(request.getKind(), request.getName()),
@@ -180,7 +180,7 @@
     /** Marks an upstream as draining or as back in service; keeps all other fields. */
     public CompletableFuture<SetDrainingResponse> setDraining(SetDrainingRequest request) {
         ObjectKey key = new ObjectKey(ObjectKind.UPSTREAM, request.getUpstream());
-        return Futures.on(context.control(), () -> writer.change(state -> drainingEdit(request, key))
+        return Futures.callOn(context.control(), () -> writer.change(state -> drainingEdit(request, key))
                 .thenApply(revision ->
                         SetDrainingResponse.newBuilder().setRevision(revision).build()));
     }
--- a/agatelane-node/src/main/java/io/agatelane/node/config/ConfigSynchronizer.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/config/ConfigSynchronizer.java
@@ -2,7 +2,7 @@
 
 import io.agatelane.core.config.Head;
 import io.agatelane.core.config.ShardLayout;
-import io.agatelane.core.config.query.WatcherChoice;
+import io.agatelane.core.config.query.RouterRanking;
 import io.agatelane.core.failure.AgatelaneException;
 import io.agatelane.node.api.KeyValue;
 import io.agatelane.node.api.KeyValueStore;
@@ -141,7 +141,7 @@
             return peersRead;
         }
         context.timers().after(MAX_START_PEER_WAIT_MILLIS, () -> peersRead.complete(null));
-        List<String> names = WatcherChoice.ranked(
+        List<String> names = RouterRanking.ranked(
                 "config/start/" + context.settings().vmName(),
                 others.stream().map(Member::name).toList(),
                 START_PEER_COUNT);
@@ -228,7 +228,7 @@
 
     private void updateWatch() {
         boolean shouldWatch = !closed
-                && WatcherChoice.watchers(
+                && RouterRanking.watchers(
                                 context.settings().region(), RegionMembers.liveRouterNames(context, membership))
                         .contains(context.settings().vmName());
         if (shouldWatch && watch == null) {
--- a/agatelane-node/src/main/java/io/agatelane/node/config/RevisionWaitController.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/config/RevisionWaitController.java
@@ -1,6 +1,6 @@
 package io.agatelane.node.config;
 
-import io.agatelane.core.config.command.Rollout;
+import io.agatelane.core.config.command.RevisionWaits;
 import io.agatelane.core.config.query.RouterRevision;
 import io.agatelane.node.api.Member;
 import io.agatelane.node.api.MembershipView;
@@ -31,7 +31,7 @@
     private final MembershipView membership;
     private final PeerTransport peers;
     private final ConfigReader reader;
-    private final Rollout<CompletableFuture<Boolean>> waits = new Rollout<>(QUERY_DELAY_MILLIS);
+    private final RevisionWaits<CompletableFuture<Boolean>> waits = new RevisionWaits<>(QUERY_DELAY_MILLIS);
     private final Set<String> openQueries = new HashSet<>();
     private Subscription membershipChanges = () -> {};
     private Subscription checks;
@@ -80,8 +80,8 @@
         if (waits.isEmpty()) {
             stopChecks();
         }
-        evaluation.ended().forEach(ended -> ended.owner().complete(ended.everywhere()));
-        evaluation.routersToAsk().forEach(name -> membership.member(name).ifPresent(this::queryRevision));
+        evaluation.ended().forEach(ended -> ended.owner().complete(ended.inForceEverywhere()));
+        evaluation.routersToQuery().forEach(name -> membership.member(name).ifPresent(this::queryRevision));
     }
 
     private void queryRevision(Member member) {
--- a/agatelane-node/src/main/java/io/agatelane/node/config/ShardGarbageCollector.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/config/ShardGarbageCollector.java
@@ -3,7 +3,7 @@
 import io.agatelane.core.config.ConfigState;
 import io.agatelane.core.config.ShardLayout;
 import io.agatelane.core.config.command.ShardRetention;
-import io.agatelane.core.config.query.WatcherChoice;
+import io.agatelane.core.config.query.RouterRanking;
 import io.agatelane.node.api.KeyValue;
 import io.agatelane.node.api.KeyValueStore;
 import io.agatelane.node.api.Member;
@@ -54,11 +54,11 @@
 
     /** Records the versions that a new state no longer uses. */
     void recordReplaced(ConfigState before, ConfigState after) {
-        retention.replaced(before, after, context.timers().monotonicMillis());
+        retention.recordReplaced(before, after, context.timers().monotonicMillis());
     }
 
     private void collect() {
-        List<String> expired = retention.takeDue(context.timers().monotonicMillis());
+        List<String> expired = retention.takeExpired(context.timers().monotonicMillis());
         if (!isCollector()) {
             return;
         }
@@ -96,7 +96,7 @@
 
     private boolean isCollector() {
         List<String> names = membership.liveMembers().stream().map(Member::name).toList();
-        return WatcherChoice.ranked("config/collect", names, 1)
+        return RouterRanking.ranked("config/collect", names, 1)
                 .contains(context.settings().vmName());
     }
 }
--- a/agatelane-node/src/main/java/io/agatelane/node/fleet/DigestCodec.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/fleet/DigestCodec.java
@@ -24,8 +24,8 @@
         loads.forEach(load -> digest.addLoads(UpstreamLoadEntry.newBuilder()
                 .setUpstream(load.upstream())
                 .setInFlight(load.inFlight())
-                .addAllPrefillMillis(load.backlog().figures())
-                .setSilentMillis(load.silentMillis())
+                .addAllPrefillMillis(load.backlog().wholeMillisByPriority())
+                .setSilentMillis(load.oldestUnansweredMillis())
                 .setFailuresPercent((int) Math.round(load.failures() * PERCENT))));
     }
 
--- a/agatelane-node/src/main/java/io/agatelane/node/fleet/FleetNode.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/fleet/FleetNode.java
@@ -86,11 +86,11 @@
                 Map.of(
                         settings.callerAddress(), forward,
                         settings.readinessAddress(),
-                                new ReadinessHandler(ports.callers().readinessPath(), this::isReady),
+                                new ReadinessHandler(ports.callerProtocol().readinessPath(), this::isReady),
                         settings.metricsAddress(), new MetricsHandler(metrics)),
                 settings.callerAddress());
         RandomGenerator random = RandomGenerator.getDefault();
-        poller = new StorePoller(ports.source(), state, control, control, random, settings.pollMillis(), metrics);
+        poller = new StorePoller(ports.fleetSource(), state, control, control, random, settings.pollMillis(), metrics);
         RouterEntry self = new RouterEntry(settings.vmName(), settings.zone(), settings.peerAddress());
         registry = new RouterRegistry(ports.store(), poller, control, control, random, self);
         gossip = new LoadGossip(
@@ -102,7 +102,7 @@
                 control.epochMillis(),
                 (target, packet) -> gossipSocket.send(target, packet),
                 metrics);
-        cacheStoreProbe = new CacheStoreProbe(state, registry, ports.engines(), control, control);
+        cacheStoreProbe = new CacheStoreProbe(state, registry, ports.engineControl(), control, control);
         RolloutLeadership leadership = new RolloutLeadership(
                 ports.store(),
                 control,
@@ -114,7 +114,7 @@
                 state,
                 poller,
                 leadership,
-                ports.engines(),
+                ports.engineControl(),
                 control,
                 control,
                 random,
@@ -158,7 +158,7 @@
         context.apply(changed);
         LOG.event("settings_applied")
                 .with("vm", changed.vmName())
-                .with("max_proof_ms", changed.maxProofMillis())
+                .with("max_proof_ms", changed.maxConfigAgeMillis())
                 .with("weights_ms", changed.weightsMillis())
                 .with("retry_ratio", changed.retryRatio())
                 .with("retry_slack", changed.retrySlack())
--- a/agatelane-node/src/main/java/io/agatelane/node/fleet/FleetSnapshot.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/fleet/FleetSnapshot.java
@@ -1,10 +1,10 @@
 package io.agatelane.node.fleet;
 
-import io.agatelane.core.fleet.ConfigProof;
+import io.agatelane.core.fleet.ClockReading;
 import io.agatelane.core.fleet.FleetConfig;
 import io.agatelane.core.fleet.FleetUpstream;
 import io.agatelane.core.fleet.FleetView;
-import io.agatelane.core.fleet.NamedWeights;
+import io.agatelane.core.fleet.RequestedWeights;
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
@@ -13,9 +13,9 @@
 /** Immutable snapshot of the fleet as a router knows it, for the threads that serve requests. */
 public final class FleetSnapshot {
     private final FleetView view;
-    private final Optional<ConfigProof> configVerifiedAt;
+    private final Optional<ClockReading> configVerifiedAt;
     private final Map<String, Long> loadedWeights;
-    private final Map<String, NamedWeights> requestedWeights;
+    private final Map<String, RequestedWeights> requestedWeights;
     private final Map<String, List<FleetUpstream>> usable;
 
     /**
@@ -27,9 +27,9 @@
      */
     public FleetSnapshot(
             FleetView view,
-            Optional<ConfigProof> configVerifiedAt,
+            Optional<ClockReading> configVerifiedAt,
             Map<String, Long> loadedWeights,
-            Map<String, NamedWeights> requestedWeights) {
+            Map<String, RequestedWeights> requestedWeights) {
         this.view = view;
         this.configVerifiedAt = configVerifiedAt;
         this.loadedWeights = Map.copyOf(loadedWeights);
@@ -39,7 +39,7 @@
                 .collect(Collectors.groupingBy(FleetUpstream::service));
     }
 
-    private FleetSnapshot(FleetSnapshot base, ConfigProof configVerifiedAt) {
+    private FleetSnapshot(FleetSnapshot base, ClockReading configVerifiedAt) {
         this.view = base.view;
         this.configVerifiedAt = Optional.of(configVerifiedAt);
         this.loadedWeights = base.loadedWeights;
@@ -48,7 +48,7 @@
     }
 
     /** The same snapshot, verified as current at another time. */
-    FleetSnapshot withConfigVerifiedAt(ConfigProof verifiedAt) {
+    FleetSnapshot withConfigVerifiedAt(ClockReading verifiedAt) {
         return new FleetSnapshot(this, verifiedAt);
     }
 
@@ -61,7 +61,7 @@
     }
 
     /** When the configuration was last verified as current; empty until the store was read once. */
-    public Optional<ConfigProof> configVerifiedAt() {
+    public Optional<ClockReading> configVerifiedAt() {
         return configVerifiedAt;
     }
 
@@ -77,7 +77,7 @@
     }
 
     /** Versions of a model's weights that the operator requested; empty when unknown. */
-    public Optional<NamedWeights> requestedWeights(String model) {
+    public Optional<RequestedWeights> requestedWeights(String model) {
         return Optional.ofNullable(requestedWeights.get(model));
     }
 }
--- a/agatelane-node/src/main/java/io/agatelane/node/fleet/FleetState.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/fleet/FleetState.java
@@ -1,12 +1,12 @@
 package io.agatelane.node.fleet;
 
 import io.agatelane.core.fleet.CacheStore;
-import io.agatelane.core.fleet.ConfigProof;
+import io.agatelane.core.fleet.ClockReading;
 import io.agatelane.core.fleet.FleetUpstream;
 import io.agatelane.core.fleet.FleetView;
-import io.agatelane.core.fleet.NamedWeights;
 import io.agatelane.core.fleet.PeerLoad;
 import io.agatelane.core.fleet.PlacementIndex;
+import io.agatelane.core.fleet.RequestedWeights;
 import io.agatelane.core.fleet.UpstreamEstimate;
 import io.agatelane.core.fleet.command.CrashSuspects;
 import io.agatelane.core.fleet.command.PeerLoads;
@@ -36,7 +36,7 @@
     private final CrashSuspects suspects;
     private final Map<String, UpstreamLoad> loads = new ConcurrentHashMap<>();
     private final Map<String, Long> observedWeights = new ConcurrentHashMap<>();
-    private final Map<String, NamedWeights> requestedWeights = new ConcurrentHashMap<>();
+    private final Map<String, RequestedWeights> requestedWeights = new ConcurrentHashMap<>();
     private final Set<String> replaced = ConcurrentHashMap.newKeySet();
     private final Map<Long, Long> reservedUntilMillis = new ConcurrentHashMap<>();
     private volatile Optional<CacheStore> cacheStore = Optional.empty();
@@ -63,12 +63,14 @@
     }
 
     /** Applies the result of a read of the store. */
-    public void update(FleetView view, ConfigProof verifiedAt, Map<String, Long> loadedWeights) {
+    public void update(FleetView view, ClockReading verifiedAt, Map<String, Long> loadedWeights) {
         boolean hadRead = snapshot.configVerifiedAt().isPresent();
-        NamedWeights.Naming firstRead = new NamedWeights.Naming(verifiedAt.monotonicMillis(), hadRead);
-        view.newestWeights()
+        RequestedWeights.FirstRead firstRead = new RequestedWeights.FirstRead(verifiedAt.monotonicMillis(), hadRead);
+        view.newestWeightsVersions()
                 .forEach((model, version) -> requestedWeights.merge(
-                        model, NamedWeights.of(version, firstRead), (known, read) -> known.with(version, firstRead)));
+                        model,
+                        RequestedWeights.of(version, firstRead),
+                        (known, read) -> known.with(version, firstRead)));
         snapshot = new FleetSnapshot(view, Optional.of(verifiedAt), loadedWeights, requestedWeights);
         Set<String> present = view.upstreams().stream().map(FleetUpstream::key).collect(Collectors.toSet());
         loads.keySet().retainAll(present);
@@ -76,13 +78,13 @@
         replaced.retainAll(present);
         long untilMillis = verifiedAt.monotonicMillis() + RESERVATION_MILLIS;
         view.upstreams().stream()
-                .filter(upstream -> view.reserved().contains(upstream.id()))
+                .filter(upstream -> view.reservedUpstreamIds().contains(upstream.id()))
                 .forEach(upstream -> recordReservation(keyHash(upstream), untilMillis));
         reservedUntilMillis.values().removeIf(until -> until < verifiedAt.monotonicMillis());
     }
 
     /** Records a later time at which the content that was read was still current. */
-    void confirmCurrent(ConfigProof verifiedAt) {
+    void confirmCurrent(ClockReading verifiedAt) {
         snapshot = snapshot.withConfigVerifiedAt(verifiedAt);
     }
 
