--- a/agatelane-node/src/main/java/io/agatelane/node/fleet/LoadGossip.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/fleet/LoadGossip.java
@@ -2,10 +2,10 @@
 
 import com.codahale.metrics.MetricRegistry;
 import com.google.protobuf.InvalidProtocolBufferException;
-import io.agatelane.core.fleet.ConfigProof;
+import io.agatelane.core.fleet.ClockReading;
 import io.agatelane.core.fleet.PeerLoad;
 import io.agatelane.core.fleet.command.PeerLoads.Source;
-import io.agatelane.node.api.StoreContent;
+import io.agatelane.node.api.StoreContentId;
 import io.agatelane.node.api.TimerService;
 import io.agatelane.node.util.EventLog;
 import io.agatelane.wire.peer.DigestKind;
@@ -109,7 +109,7 @@
         RouterEntry relay = relays.selectRelay(registry.others(), nowMillis);
         recordRelay(relay);
         if (!relays.isRelay()) {
-            ConfigProof sentAt = new ConfigProof(nowMillis, timers.epochMillis());
+            ClockReading sentAt = new ClockReading(nowMillis, timers.epochMillis());
             sentDigests.recordSent(sequence, sentAt, loads, events.placements());
             send(relay.address(), digest(DigestKind.DIGEST_KIND_TO_RELAY, loads, events, state.rolloutHints()));
         }
@@ -131,7 +131,7 @@
                 .with("before", relayName.orElse("none"))
                 .info();
         // The new relay reports the loads of the same routers.
-        relayName.ifPresent(state.peers()::forget);
+        relayName.ifPresent(state.peers()::remove);
         relayName = Optional.of(relay.vm());
     }
 
@@ -141,14 +141,14 @@
         DigestEvents forRelays = own.plus(outbox.takeFromMembers());
         byte[] between = digest(
                 DigestKind.DIGEST_KIND_BETWEEN_RELAYS,
-                state.peers().merged(Set.of(Source.ROUTER), loads, nowMillis),
+                state.peers().sumForRelay(Set.of(Source.ROUTER), loads, nowMillis),
                 forRelays,
                 outbox.hintsForRelays(ownHints, nowMillis));
         relays.otherZoneRelays(registry.others(), nowMillis).forEach(relay -> send(relay.address(), between));
         DigestEvents forMembers = forRelays.plus(outbox.takeFromRelays());
         byte[] toMembers = digest(
                 DigestKind.DIGEST_KIND_FROM_RELAY,
-                state.peers().merged(EnumSet.allOf(Source.class), loads, nowMillis),
+                state.peers().sumForRelay(EnumSet.allOf(Source.class), loads, nowMillis),
                 forMembers,
                 outbox.hintsForMembers(ownHints, nowMillis));
         members.forEach(member -> send(member.address(), withResponse(toMembers, member)));
@@ -159,10 +159,10 @@
         LoadDigest.Builder response = LoadDigest.newBuilder().setAnsweredSequence(member.sequence());
         poller.content()
                 .ifPresent(content -> response.setStore(StoreContentEntry.newBuilder()
-                        .setOperatorRevision(content.operator().newestRevision())
-                        .setOperatorDigest(content.operator().digest())
-                        .setUpstreamsRevision(content.upstreams().newestRevision())
-                        .setUpstreamsDigest(content.upstreams().digest())
+                        .setOperatorRevision(content.operatorEntries().newestRevision())
+                        .setOperatorDigest(content.operatorEntries().digest())
+                        .setUpstreamsRevision(content.upstreamEntries().newestRevision())
+                        .setUpstreamsDigest(content.upstreamEntries().digest())
                         .setAgeMillis(configAgeMillis())));
         byte[] own = response.build().toByteArray();
         byte[] packet = new byte[common.length + own.length];
@@ -242,8 +242,8 @@
                     .info();
         }
         state.applyHints(hints, nowMillis);
-        events.placements().stream().filter(sentDigests::isForeign).forEach(state.placements()::heard);
-        events.crashes().forEach(report -> state.suspects().heard(report, nowMillis));
+        events.placements().stream().filter(sentDigests::isForeign).forEach(state.placements()::recordFromPeer);
+        events.crashes().forEach(report -> state.suspects().mergeReport(report, nowMillis));
     }
 
     private void update(LoadDigest digest, Source source, List<PeerLoad> loads) {
@@ -268,9 +268,9 @@
                 .ifPresent(verifiedAt -> poller.compareWithRelay(content(store), verifiedAt));
     }
 
-    private static StoreContent content(StoreContentEntry store) {
-        return new StoreContent(
-                new StoreContent.Part(store.getOperatorRevision(), store.getOperatorDigest()),
-                new StoreContent.Part(store.getUpstreamsRevision(), store.getUpstreamsDigest()));
+    private static StoreContentId content(StoreContentEntry store) {
+        return new StoreContentId(
+                new StoreContentId.EntrySetId(store.getOperatorRevision(), store.getOperatorDigest()),
+                new StoreContentId.EntrySetId(store.getUpstreamsRevision(), store.getUpstreamsDigest()));
     }
 }
--- a/agatelane-node/src/main/java/io/agatelane/node/fleet/RolloutLeadership.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/fleet/RolloutLeadership.java
@@ -2,7 +2,7 @@
 
 import io.agatelane.core.failure.AgatelaneException;
 import io.agatelane.core.failure.FailureType;
-import io.agatelane.core.fleet.ConfigProof;
+import io.agatelane.core.fleet.ClockReading;
 import io.agatelane.node.api.ConditionalStore;
 import io.agatelane.node.api.KeyValue;
 import io.agatelane.node.api.TimerService;
@@ -56,10 +56,10 @@
         private final long leaseId;
         private final long fencingToken;
         private long revision;
-        private ConfigProof renewedAt;
+        private ClockReading renewedAt;
         private RolloutRecord publishedRecord;
 
-        private Term(long leaseId, long fencingToken, ConfigProof renewedAt, RolloutRecord publishedRecord) {
+        private Term(long leaseId, long fencingToken, ClockReading renewedAt, RolloutRecord publishedRecord) {
             this.leaseId = leaseId;
             this.fencingToken = fencingToken;
             this.revision = fencingToken;
@@ -90,7 +90,7 @@
             return;
         }
         requestInFlight = true;
-        ConfigProof requestedAt = now();
+        ClockReading requestedAt = now();
         Futures.whenDone(store.grantLease(leaseMillis + RENEW_MILLIS), control, (leaseId, failure) -> {
             if (failure != null) {
                 requestInFlight = false;
@@ -103,7 +103,7 @@
         });
     }
 
-    private void acquireKey(long leaseId, ConfigProof requestedAt) {
+    private void acquireKey(long leaseId, ClockReading requestedAt) {
         RolloutRecord record = new RolloutRecord(vmName, Set.of(), Map.of());
         Futures.whenDone(
                 store.compareAndSet(RolloutRecord.KEY, 0, record.encode(), leaseId), control, (revision, failure) -> {
@@ -142,7 +142,7 @@
             return;
         }
         Term held = term.get();
-        ConfigProof requestedAt = now();
+        ClockReading requestedAt = now();
         Futures.whenDone(store.renewLease(held.leaseId), control, (leftMillis, failure) -> {
             if (term.isEmpty() || term.get() != held) {
                 return;
@@ -241,7 +241,7 @@
         term = Optional.empty();
     }
 
-    private ConfigProof now() {
-        return new ConfigProof(timers.monotonicMillis(), timers.epochMillis());
+    private ClockReading now() {
+        return new ClockReading(timers.monotonicMillis(), timers.epochMillis());
     }
 }
--- a/agatelane-node/src/main/java/io/agatelane/node/fleet/RouterRegistry.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/fleet/RouterRegistry.java
@@ -67,7 +67,7 @@
 
     /** The other routers as last read. */
     List<RouterEntry> others() {
-        List<KeyValue> items = poller.routerItems();
+        List<KeyValue> items = poller.routerEntries();
         if (items != parsedItems) {
             parsedItems = items;
             parsed = items.stream()
@@ -96,7 +96,7 @@
 
     private void register() {
         String key = PREFIX + self.vm();
-        long known = poller.routerItems().stream()
+        long known = poller.routerEntries().stream()
                 .filter(item -> item.key().equals(key))
                 .mapToLong(KeyValue::revision)
                 .findFirst()
--- a/agatelane-node/src/main/java/io/agatelane/node/fleet/SentDigests.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/fleet/SentDigests.java
@@ -1,6 +1,6 @@
 package io.agatelane.node.fleet;
 
-import io.agatelane.core.fleet.ConfigProof;
+import io.agatelane.core.fleet.ClockReading;
 import io.agatelane.core.fleet.PeerLoad;
 import io.agatelane.core.fleet.PlacementIndex.Placement;
 import java.util.HashMap;
@@ -19,11 +19,11 @@
     // Placements in flight; one that drops out and is counted twice makes a part look only a little older.
     private static final int MAX_PLACEMENTS = 512;
 
-    private final Map<Long, ConfigProof> sendTimes = bounded(MAX_SEND_TIMES);
+    private final Map<Long, ClockReading> sendTimes = bounded(MAX_SEND_TIMES);
     private final Map<Placement, Boolean> placements = bounded(MAX_PLACEMENTS);
     private Map<Long, PeerLoad> loads = Map.of();
 
-    void recordSent(long sequence, ConfigProof sentAt, List<PeerLoad> sentLoads, List<Placement> sentPlacements) {
+    void recordSent(long sequence, ClockReading sentAt, List<PeerLoad> sentLoads, List<Placement> sentPlacements) {
         sendTimes.put(sequence, sentAt);
         Map<Long, PeerLoad> byUpstream = new HashMap<>();
         sentLoads.forEach(load -> byUpstream.put(load.upstream(), load));
@@ -32,7 +32,7 @@
     }
 
     /** When a digest was sent; empty when it is unknown or long ago. */
-    Optional<ConfigProof> sentAt(long sequence) {
+    Optional<ClockReading> sentAt(long sequence) {
         return Optional.ofNullable(sendTimes.get(sequence));
     }
 
--- a/agatelane-node/src/main/java/io/agatelane/node/fleet/SettingsWatch.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/fleet/SettingsReloader.java
@@ -11,8 +11,8 @@
 import java.util.function.Consumer;
 
 /** Reloads a settings file when it has changed. An unusable file leaves the known settings in force. */
-public final class SettingsWatch {
-    private static final EventLog LOG = EventLog.of(SettingsWatch.class);
+public final class SettingsReloader {
+    private static final EventLog LOG = EventLog.of(SettingsReloader.class);
     // Settings may change without a signal and must be in force within two seconds.
     private static final long PERIOD_MILLIS = 1_000;
 
@@ -22,7 +22,7 @@
     private String stamp;
 
     /** Creates a watch for the file that the settings were read from. */
-    public SettingsWatch(Path file, FleetSettings settings, Consumer<FleetSettings> listener) {
+    public SettingsReloader(Path file, FleetSettings settings, Consumer<FleetSettings> listener) {
         this.file = file;
         this.known = settings;
         this.listener = listener;
--- a/agatelane-node/src/main/java/io/agatelane/node/fleet/StorePoller.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/fleet/StorePoller.java
@@ -2,13 +2,13 @@
 
 import com.codahale.metrics.MetricRegistry;
 import io.agatelane.core.failure.AgatelaneException;
-import io.agatelane.core.fleet.ConfigProof;
+import io.agatelane.core.fleet.ClockReading;
 import io.agatelane.core.fleet.FleetUpstream;
 import io.agatelane.core.fleet.FleetView;
-import io.agatelane.node.api.FleetRead;
+import io.agatelane.node.api.FleetReadResult;
 import io.agatelane.node.api.FleetSource;
 import io.agatelane.node.api.KeyValue;
-import io.agatelane.node.api.StoreContent;
+import io.agatelane.node.api.StoreContentId;
 import io.agatelane.node.api.TimerService;
 import io.agatelane.node.util.EventLog;
 import io.agatelane.node.util.Futures;
@@ -60,10 +60,10 @@
     private final MetricRegistry metrics;
     private final List<Runnable> listeners = new ArrayList<>();
     private FleetView view = FleetView.EMPTY;
-    private List<KeyValue> routerItems = List.of();
+    private List<KeyValue> routerEntries = List.of();
     private Optional<KeyValue> rollout = Optional.empty();
-    private StoreContent content = StoreContent.NONE;
-    private Optional<ConfigProof> relayVerifiedAt = Optional.empty();
+    private StoreContentId content = StoreContentId.NONE;
+    private Optional<ClockReading> relayVerifiedAt = Optional.empty();
     private boolean reading;
     private long readStartedMillis;
     private long appliedMillis;
@@ -117,8 +117,8 @@
     }
 
     /** The store entries that routers have written, as last read. */
-    public List<KeyValue> routerItems() {
-        return routerItems;
+    public List<KeyValue> routerEntries() {
+        return routerEntries;
     }
 
     /**
@@ -128,17 +128,17 @@
      * @param relayed identifies the content that the relay has read
      * @param verifiedAt when the relay's content is known to have been current, in the clocks of this router
      */
-    public void compareWithRelay(StoreContent relayed, ConfigProof verifiedAt) {
+    public void compareWithRelay(StoreContentId relayed, ClockReading verifiedAt) {
         long nowMillis = timers.monotonicMillis();
-        if (relayed.operator().equals(content.operator())) {
+        if (relayed.operatorEntries().equals(content.operatorEntries())) {
             relayVerifiedAt = Optional.of(verifiedAt);
             state.snapshot()
                     .configVerifiedAt()
-                    .filter(known -> known.isOlderThan(verifiedAt))
+                    .filter(known -> known.isEarlierThan(verifiedAt))
                     .ifPresent(known -> state.confirmCurrent(verifiedAt));
         }
-        boolean operatorChanged = content.operator().mayBeOlderThan(relayed.operator());
-        boolean upstreamsChanged = content.upstreams().mayBeOlderThan(relayed.upstreams());
+        boolean operatorChanged = content.operatorEntries().mayBeOlderThan(relayed.operatorEntries());
+        boolean upstreamsChanged = content.upstreamEntries().mayBeOlderThan(relayed.upstreamEntries());
         long gapMillis = operatorChanged ? MIN_READ_GAP_MILLIS : DIRECTORY_READ_GAP_MILLIS;
         if (!reading && (operatorChanged || upstreamsChanged) && nowMillis - readStartedMillis >= gapMillis) {
             readOnce(read -> {});
@@ -146,7 +146,7 @@
     }
 
     /** Identifies the content that this router has read; empty before the first read. */
-    public Optional<StoreContent> content() {
+    public Optional<StoreContentId> content() {
         return state.snapshot().configVerifiedAt().map(verifiedAt -> content);
     }
 
@@ -173,7 +173,7 @@
     private void readOnce(Consumer<Boolean> then) {
         reading = true;
         readStartedMillis = timers.monotonicMillis();
-        ConfigProof verifiedAt = new ConfigProof(readStartedMillis, timers.epochMillis());
+        ClockReading verifiedAt = new ClockReading(readStartedMillis, timers.epochMillis());
         Futures.whenDone(source.read(), control, (read, failure) -> {
             reading = false;
             if (failure == null) {
@@ -196,19 +196,19 @@
         storeReachable = false;
     }
 
-    private void apply(FleetRead read, ConfigProof verifiedAt) {
+    private void apply(FleetReadResult read, ClockReading verifiedAt) {
         metrics.counter("store_reads_total").inc();
         if (!storeReachable) {
             storeReachable = true;
             storeRegainedMillis = timers.monotonicMillis();
             LOG.event("dependency_regained").with("dependency", "store").info();
         }
-        routerItems = read.routerItems();
+        routerEntries = read.routerEntries();
         content = read.content();
         appliedMillis = timers.monotonicMillis();
         FleetView next = merge(read.view());
-        RolloutRecord record = rolloutRecord(read.routerItems());
-        next = new FleetView(next.config(), next.upstreams(), next.newestWeights(), record.reserved());
+        RolloutRecord record = rolloutRecord(read.routerEntries());
+        next = new FleetView(next.config(), next.upstreams(), next.newestWeightsVersions(), record.reserved());
         logChanges(view, next);
         view = next;
         state.update(next, verifiedAt, record.loadedWeights());
@@ -226,8 +226,8 @@
                     .with("action", "keeps_newer")
                     .warning();
         }
-        Map<String, Long> weights = new HashMap<>(view.newestWeights());
-        read.newestWeights().forEach((model, version) -> weights.merge(model, version, Math::max));
+        Map<String, Long> weights = new HashMap<>(view.newestWeightsVersions());
+        read.newestWeightsVersions().forEach((model, version) -> weights.merge(model, version, Math::max));
         return new FleetView(
                 regressed || read.config().isEmpty() ? view.config() : read.config(),
                 withMissingAfterOutage(read.upstreams()),
@@ -277,8 +277,8 @@
                     .with("routes", after.config().get().routeCount())
                     .info();
         }
-        after.newestWeights().forEach((model, version) -> {
-            if (!version.equals(before.newestWeights().get(model))) {
+        after.newestWeightsVersions().forEach((model, version) -> {
+            if (!version.equals(before.newestWeightsVersions().get(model))) {
                 LOG.event("weights_named")
                         .with("model", model)
                         .with("version", version)
--- a/agatelane-node/src/main/java/io/agatelane/node/fleet/WeightsRollout.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/fleet/WeightsRollout.java
@@ -3,11 +3,11 @@
 import com.codahale.metrics.MetricRegistry;
 import io.agatelane.core.fleet.FleetUpstream;
 import io.agatelane.core.fleet.FleetView;
-import io.agatelane.core.fleet.query.RolloutPlan;
+import io.agatelane.core.fleet.query.RolloutSelector;
 import io.agatelane.core.hash.Rendezvous;
 import io.agatelane.node.api.EngineControl;
 import io.agatelane.node.api.EngineStatus;
-import io.agatelane.node.api.OrderAnswer;
+import io.agatelane.node.api.OrderResponse;
 import io.agatelane.node.api.TimerService;
 import io.agatelane.node.api.WeightsOrder;
 import io.agatelane.node.util.EventLog;
@@ -47,7 +47,7 @@
     private final FleetState state;
     private final StorePoller poller;
     private final RolloutLeadership leadership;
-    private final EngineControl engines;
+    private final EngineControl engineControl;
     private final TimerService timers;
     private final Executor control;
     private final RandomGenerator random;
@@ -82,7 +82,7 @@
             FleetState state,
             StorePoller poller,
             RolloutLeadership leadership,
-            EngineControl engines,
+            EngineControl engineControl,
             TimerService timers,
             Executor control,
             RandomGenerator random,
@@ -92,7 +92,7 @@
         this.state = state;
         this.poller = poller;
         this.leadership = leadership;
-        this.engines = engines;
+        this.engineControl = engineControl;
         this.timers = timers;
         this.control = control;
         this.random = random;
@@ -108,7 +108,7 @@
 
     /** Stops giving orders and hands the leadership over. */
     public CompletableFuture<Void> stop() {
-        return Futures.on(control, () -> {
+        return Futures.callOn(control, () -> {
             stopped = true;
             tasks.clear();
             return leadership.handOver();
@@ -146,7 +146,7 @@
         // With an outdated read, many routers would ask for a leadership that was acquired long ago.
         boolean free = poller.rollout().isEmpty()
                 && poller.hasReadRecently()
-                && !state.snapshot().view().newestWeights().isEmpty();
+                && !state.snapshot().view().newestWeightsVersions().isEmpty();
         long now = timers.monotonicMillis();
         if (!free) {
             acquireAtMillis = Long.MAX_VALUE;
@@ -196,9 +196,9 @@
         Set<String> reserved = new HashSet<>();
         tasks.values().forEach(task -> reserved.add(task.upstream.id()));
         long now = timers.monotonicMillis();
-        RolloutPlan.next(
+        RolloutSelector.selectNext(
                         known,
-                        view.newestWeights(),
+                        view.newestWeightsVersions(),
                         reserved,
                         concurrentLoads(view) + RESERVED_AHEAD,
                         upstream -> state.estimate(upstream, now).requests())
@@ -207,7 +207,7 @@
                     LOG.event("rollout_reserve")
                             .with("upstream", upstream.key())
                             .with("weights", upstream.weightsVersions())
-                            .with("newest", view.newestWeights())
+                            .with("newest", view.newestWeightsVersions())
                             .info();
                 });
     }
@@ -245,7 +245,7 @@
         }
         task.mayLoad = true;
         task.requestInFlight = true;
-        Futures.whenDone(engines.status(task.upstream), control, (status, failure) -> {
+        Futures.whenDone(engineControl.status(task.upstream), control, (status, failure) -> {
             task.requestInFlight = false;
             task.nextRequestAtMillis = timers.monotonicMillis() + STATUS_INTERVAL_MILLIS;
             if (failure == null) {
@@ -266,7 +266,7 @@
             return;
         }
         Optional<Map.Entry<String, Long>> outdated = status.weightsVersions().entrySet().stream()
-                .filter(entry -> entry.getValue() < view.newestWeights().getOrDefault(entry.getKey(), 0L))
+                .filter(entry -> entry.getValue() < view.newestWeightsVersions().getOrDefault(entry.getKey(), 0L))
                 .findFirst();
         if (status.busy()) {
             return;
@@ -281,7 +281,7 @@
                     .info();
         } else {
             String model = outdated.get().getKey();
-            order(task, status, model, view.newestWeights().get(model));
+            order(task, status, model, view.newestWeightsVersions().get(model));
         }
     }
 
@@ -292,7 +292,7 @@
         WeightsOrder order =
                 new WeightsOrder(model, version, vmName, leadership.fencingToken(), status.acceptedOrders());
         task.requestInFlight = true;
-        Futures.whenDone(engines.load(task.upstream, order), control, (response, failure) -> {
+        Futures.whenDone(engineControl.loadWeights(task.upstream, order), control, (response, failure) -> {
             task.requestInFlight = false;
             task.nextRequestAtMillis = timers.monotonicMillis() + STATUS_INTERVAL_MILLIS;
             metrics.counter("weights_orders_total").inc();
@@ -304,9 +304,9 @@
                     .with("expected_orders", order.expectedOrders())
                     .with("outcome", failure == null ? response : failure.type().code())
                     .info();
-            if (response == OrderAnswer.FENCED) {
+            if (response == OrderResponse.FENCED) {
                 leadership.stepDown("fenced_by_" + task.upstream.key());
-            } else if (response == OrderAnswer.REJECTED) {
+            } else if (response == OrderResponse.REJECTED) {
                 tasks.remove(task.upstream.key(), task);
             }
         });
--- a/agatelane-node/src/main/java/io/agatelane/node/forward/ForwardCall.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/forward/ForwardCall.java
@@ -5,18 +5,18 @@
 import io.agatelane.core.failure.FailureType;
 import io.agatelane.core.fleet.FleetAccount;
 import io.agatelane.core.fleet.FleetUpstream;
-import io.agatelane.core.fleet.NamedWeights;
+import io.agatelane.core.fleet.RequestedWeights;
 import io.agatelane.core.fleet.Route;
 import io.agatelane.core.fleet.command.CrashSuspects;
 import io.agatelane.core.fleet.command.UpstreamLoad;
-import io.agatelane.core.fleet.query.Choice;
 import io.agatelane.core.fleet.query.EnginePriority;
 import io.agatelane.core.fleet.query.EventFramer;
-import io.agatelane.core.fleet.query.PromptCache;
+import io.agatelane.core.fleet.query.PrefixLocator;
+import io.agatelane.core.fleet.query.UpstreamChoice;
 import io.agatelane.node.api.CallerRequest;
 import io.agatelane.node.api.Subscription;
-import io.agatelane.node.api.UpstreamAnswer;
 import io.agatelane.node.api.UpstreamCall;
+import io.agatelane.node.api.UpstreamResponse;
 import io.agatelane.node.fleet.FleetSnapshot;
 import io.agatelane.node.util.EventLog;
 import java.nio.ByteBuffer;
@@ -66,7 +66,7 @@
     private final EventFramer framer;
     private final UpstreamSelection selection;
 
-    private Optional<PromptCache> cache = Optional.empty();
+    private Optional<PrefixLocator> prefixLocator = Optional.empty();
     private Optional<String> saveTo = Optional.empty();
     private CallerDisconnectMonitor disconnectMonitor;
     private Subscription deadlineTimer;
@@ -131,7 +131,7 @@
             checkConfigAge(snapshot);
             checkCrashes(now);
             UpstreamSelection.Selected selected = selection.select(snapshot, tried, attempts == 0, now, leftMillis);
-            cache = selected.cache();
+            prefixLocator = selected.prefixLocator();
             startAttempt(snapshot, selected.choice(), leftMillis);
         } catch (AgatelaneException e) {
             fail(mayHaveRun ? e.withExecuted(Executed.UNKNOWN) : e);
@@ -149,7 +149,7 @@
                 .map(verifiedAt -> verifiedAt.ageMillis(
                         context.timers().monotonicMillis(), context.timers().epochMillis()))
                 .orElse(Long.MAX_VALUE);
-        if (age > context.settings().maxProofMillis()) {
+        if (age > context.settings().maxConfigAgeMillis()) {
             throw new AgatelaneException(
                             FailureType.PLATFORM_UNAVAILABLE,
                             "the API key cannot be checked: the configuration was last verified as current " + age
@@ -171,12 +171,13 @@
         return Fingerprint.of(request.getMethod(), request.getHttpURI().getPathQuery(), account, body);
     }
 
-    private void startAttempt(FleetSnapshot snapshot, Choice choice, long leftMillis) {
+    private void startAttempt(FleetSnapshot snapshot, UpstreamChoice choice, long leftMillis) {
         tried.add(choice.candidate().upstream().key());
-        cache.flatMap(promptCache -> promptCache.reading(choice.candidate()))
-                .ifPresent(context.state().placements()::placed);
+        prefixLocator
+                .flatMap(locator -> locator.prefillPlacement(choice.candidate()))
+                .ifPresent(context.state().placements()::recordLocal);
         HttpFields.Mutable headers = HttpFields.build();
-        context.ports().upstreams().encode(request.getHeaders(), upstreamCall(choice, leftMillis), headers);
+        context.ports().upstreamProtocol().encode(request.getHeaders(), upstreamCall(choice, leftMillis), headers);
         boolean hasBody =
                 body.length > 0 || HttpMethod.POST.is(request.getMethod()) || HttpMethod.PUT.is(request.getMethod());
         UpstreamAttempt attempt = new UpstreamAttempt(context, choice, priority, attempts + 1, this);
@@ -185,11 +186,11 @@
         attempt.start(request.getMethod(), request.getHttpURI().getPathQuery(), headers, body, hasBody);
     }
 
-    private UpstreamCall upstreamCall(Choice choice, long leftMillis) {
+    private UpstreamCall upstreamCall(UpstreamChoice choice, long leftMillis) {
         FleetUpstream upstream = choice.candidate().upstream();
         long version = choice.candidate().weightsVersion();
-        boolean isPrompt = cache.isPresent();
-        saveTo = cache.flatMap(promptCache -> promptCache.saveTo(version));
+        boolean isPrompt = prefixLocator.isPresent();
+        saveTo = prefixLocator.flatMap(locator -> locator.storeToSaveTo(version));
 
         return new UpstreamCall(
                 upstream.id(),
@@ -197,7 +198,7 @@
                 leftMillis,
                 isPrompt ? OptionalInt.of(priority) : OptionalInt.empty(),
                 isPrompt ? OptionalLong.of(version) : OptionalLong.empty(),
-                cache.map(promptCache -> promptCache.salt(version)),
+                prefixLocator.map(locator -> locator.cacheSalt(version)),
                 choice.cacheSource(),
                 saveTo,
                 framer == null ? Optional.empty() : framer.lastEventId());
@@ -205,7 +206,7 @@
 
     @Override
     public synchronized boolean onHead(
-            UpstreamAttempt attempt, int newStatus, HttpFields headers, UpstreamAnswer upstreamResponse) {
+            UpstreamAttempt attempt, int newStatus, HttpFields headers, UpstreamResponse upstreamResponse) {
         if (done || attempt != current) {
             return false;
         }
@@ -220,7 +221,7 @@
         }
         mayHaveRun = true;
         if (unusable.isPresent()) {
-            load.failed(now);
+            load.recordFailure(now);
             attempts++;
             retryOrFail(attempt, "unusable", unusable.get());
             return false;
@@ -232,10 +233,10 @@
             return false;
         }
         if (!failed) {
-            load.succeeded(now);
-            cache.ifPresent(promptCache -> promptCache
-                    .placements(attempt.choice().candidate(), saveTo.isPresent())
-                    .forEach(context.state().placements()::placed));
+            load.recordSuccess(now);
+            prefixLocator.ifPresent(
+                    locator -> locator.placementsAfterPrefill(attempt.choice().candidate(), saveTo.isPresent())
+                            .forEach(context.state().placements()::recordLocal));
             upstreamResponse.weightsVersion().ifPresent(version -> context.state()
                     .recordWeightsVersion(attempt.upstream(), version));
         }
@@ -248,11 +249,11 @@
 
     private void clearSuspicion() {
         if (!context.state().suspects().isEmpty()) {
-            context.state().suspects().served(fingerprint());
+            context.state().suspects().recordSuccess(fingerprint());
         }
     }
 
-    private void recordRefusal(UpstreamAttempt attempt, UpstreamAnswer upstreamResponse) {
+    private void recordRefusal(UpstreamAttempt attempt, UpstreamResponse upstreamResponse) {
         boolean otherUpstream = upstreamResponse
                 .upstreamId()
                 .filter(id -> !id.equals(attempt.upstream().id()))
@@ -264,18 +265,20 @@
             long newest = context.state()
                     .snapshot()
                     .requestedWeights(caller.prompt().get().model())
-                    .map(NamedWeights::newest)
+                    .map(RequestedWeights::newest)
                     .orElse(0L);
             context.state()
                     .recordWeightsVersion(
                             attempt.upstream(),
                             upstreamResponse.weightsVersion().orElse(newest));
         } else {
-            context.state().load(attempt.upstream()).failed(context.timers().monotonicMillis());
+            context.state()
+                    .load(attempt.upstream())
+                    .recordFailure(context.timers().monotonicMillis());
         }
     }
 
-    private Optional<String> unusable(int newStatus, UpstreamAnswer upstreamResponse) {
+    private Optional<String> unusable(int newStatus, UpstreamResponse upstreamResponse) {
         boolean otherRequest = upstreamResponse
                 .requestId()
                 .filter(id -> !id.equals(caller.id()))
@@ -287,7 +290,7 @@
         if (!upstreamResponse.signed()) {
             return Optional.of("the response is not signed, status " + newStatus);
         }
-        if (upstreamResponse.encoded()) {
+        if (upstreamResponse.contentEncoded()) {
             return Optional.of("the response body was transformed on the way");
         }
         return Optional.empty();
@@ -321,7 +324,7 @@
         committed = true;
         firstByteMillis = context.timers().monotonicMillis() - arrivedMillis;
         response.setStatus(status);
-        context.ports().upstreams().relay(upstreamHeaders, response.getHeaders());
+        context.ports().upstreamProtocol().copyResponseHeaders(upstreamHeaders, response.getHeaders());
         RouterResponses.closeWhenDraining(context, response);
     }
 
@@ -335,7 +338,7 @@
             clearSuspicion();
         }
         commit();
-        byte[] rest = framer == null ? new byte[0] : framer.rest();
+        byte[] rest = framer == null ? new byte[0] : framer.takeRemaining();
         finish("answered");
         response.write(true, ByteBuffer.wrap(rest), callback);
     }
@@ -345,7 +348,7 @@
         if (done || attempt != current) {
             return;
         }
-        context.state().load(attempt.upstream()).failed(context.timers().monotonicMillis());
+        context.state().load(attempt.upstream()).recordFailure(context.timers().monotonicMillis());
         if (!attempt.mayHaveBeenSent()) {
             failedConnects++;
             ForwardLog.attemptEnded(
@@ -360,7 +363,9 @@
         mayHaveRun = true;
         attempts++;
         if (!(failure instanceof TimeoutException)) {
-            context.state().suspects().crashed(fingerprint(), context.timers().monotonicMillis());
+            context.state()
+                    .suspects()
+                    .recordCrash(fingerprint(), context.timers().monotonicMillis());
         }
         retryOrFail(attempt, "broken", failure.toString());
     }
@@ -414,7 +419,7 @@
     private void fail(AgatelaneException failure) {
         boolean wasCommitted = committed;
         if (!wasCommitted) {
-            status = context.ports().callers().status(failure);
+            status = context.ports().callerProtocol().status(failure);
         }
         finish(wasCommitted ? "cut" : failure.type().code().replace('-', '_'));
         abortCurrent();
--- a/agatelane-node/src/main/java/io/agatelane/node/forward/ForwardHandler.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/forward/ForwardHandler.java
@@ -65,7 +65,7 @@
                 throw new AgatelaneException(FailureType.SHUTTING_DOWN, "this router is shutting down")
                         .withRetryAfterMillis(SHUTDOWN_RETRY_MILLIS);
             }
-            CallerRequest caller = context.ports().callers().decode(request.getHeaders());
+            CallerRequest caller = context.ports().callerProtocol().decode(request.getHeaders());
             FleetSnapshot snapshot = context.state().snapshot();
             FleetConfig config = snapshot.config().orElseThrow(() -> new AgatelaneException(
                             FailureType.PLATFORM_UNAVAILABLE, "no configuration has been read from the store yet")
@@ -89,14 +89,15 @@
 
     private static Optional<FleetAccount> account(FleetConfig config, Route route, CallerRequest caller) {
         Optional<FleetAccount> account = caller.apiKey().flatMap(config::accountOf);
-        if (account.isEmpty() && config.hasAccounts() && !route.isPublic()) {
+        if (account.isEmpty() && config.requiresApiKey() && !route.isPublic()) {
             throw new AgatelaneException(FailureType.UNAUTHENTICATED, "the API key is missing or unknown");
         }
         return account;
     }
 
     private void refuse(Request request, Response response, Callback callback, AgatelaneException failure) {
-        String id = context.ports().callers().requestId(request.getHeaders()).orElse(UNKNOWN_ID);
+        String id =
+                context.ports().callerProtocol().requestId(request.getHeaders()).orElse(UNKNOWN_ID);
         RouterResponses.writeFailure(context, response, callback, failure, id);
         ForwardLog.refused(context, request, id, failure);
     }
--- a/agatelane-node/src/main/java/io/agatelane/node/forward/ForwardLog.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/forward/ForwardLog.java
@@ -4,7 +4,7 @@
 import io.agatelane.core.fleet.FleetConfig;
 import io.agatelane.core.fleet.Route;
 import io.agatelane.core.fleet.query.Candidate;
-import io.agatelane.core.fleet.query.Choice;
+import io.agatelane.core.fleet.query.UpstreamChoice;
 import io.agatelane.node.fleet.FleetSnapshot;
 import io.agatelane.node.util.EventLog;
 import java.util.concurrent.TimeUnit;
@@ -34,7 +34,7 @@
     }
 
     /** Logs that a request is sent to a chosen upstream, and why. */
-    static void sent(ForwardContext context, String id, int attempt, Choice choice, FleetSnapshot snapshot) {
+    static void sent(ForwardContext context, String id, int attempt, UpstreamChoice choice, FleetSnapshot snapshot) {
         Candidate chosen = choice.candidate();
         LOG.event("request_sent")
                 .with("id", id)
--- a/agatelane-node/src/main/java/io/agatelane/node/forward/RouterResponses.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/forward/RouterResponses.java
@@ -22,7 +22,7 @@
             Callback callback,
             AgatelaneException failure,
             String requestId) {
-        CallerProtocol protocol = context.ports().callers();
+        CallerProtocol protocol = context.ports().callerProtocol();
         response.setStatus(protocol.status(failure));
         response.getHeaders().put(HttpHeader.CONTENT_TYPE, ProblemDocuments.CONTENT_TYPE);
         protocol.encodeFailure(failure, requestId, response.getHeaders());
--- a/agatelane-node/src/main/java/io/agatelane/node/forward/UpstreamAttempt.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/forward/UpstreamAttempt.java
@@ -2,8 +2,8 @@
 
 import io.agatelane.core.fleet.FleetUpstream;
 import io.agatelane.core.fleet.command.UpstreamLoad;
-import io.agatelane.core.fleet.query.Choice;
-import io.agatelane.node.api.UpstreamAnswer;
+import io.agatelane.core.fleet.query.UpstreamChoice;
+import io.agatelane.node.api.UpstreamResponse;
 import java.net.ConnectException;
 import java.nio.ByteBuffer;
 import java.util.concurrent.atomic.AtomicBoolean;
@@ -24,7 +24,7 @@
     /** Receives the events of an attempt. Methods are called in the order of the response, never concurrently. */
     interface Listener {
         /** Called with the head of a response; returning false aborts the attempt. */
-        boolean onHead(UpstreamAttempt attempt, int status, HttpFields headers, UpstreamAnswer upstreamResponse);
+        boolean onHead(UpstreamAttempt attempt, int status, HttpFields headers, UpstreamResponse upstreamResponse);
 
         /** Called with some bytes of the body; {@code more} requests the next ones. */
         void onBody(UpstreamAttempt attempt, byte[] bytes, Runnable more);
@@ -40,7 +40,7 @@
     private static final String NO_CONTENT_TYPE = null;
 
     private final ForwardContext context;
-    private final Choice choice;
+    private final UpstreamChoice choice;
     private final int priority;
     private final int number;
     private final Listener listener;
@@ -50,7 +50,7 @@
     private Request request;
     private volatile boolean responseStarted;
 
-    UpstreamAttempt(ForwardContext context, Choice choice, int priority, int number, Listener listener) {
+    UpstreamAttempt(ForwardContext context, UpstreamChoice choice, int priority, int number, Listener listener) {
         this.priority = priority;
         this.context = context;
         this.choice = choice;
@@ -62,7 +62,7 @@
     /** Sends the request. */
     void start(String method, String pathQuery, HttpFields headers, byte[] body, boolean hasBody) {
         FleetUpstream upstream = choice.candidate().upstream();
-        load.sent(this, priority, choice.prefillMillis(), context.timers().monotonicMillis());
+        load.recordSent(this, priority, choice.prefillMillis(), context.timers().monotonicMillis());
         request = context.client()
                 .newRequest("http://" + upstream.address())
                 .method(method)
@@ -87,7 +87,7 @@
         return choice.candidate().upstream();
     }
 
-    Choice choice() {
+    UpstreamChoice choice() {
         return choice;
     }
 
@@ -108,14 +108,14 @@
     @Override
     public void onHeaders(Response response) {
         responseStarted = true;
-        load.answered(this, priority, choice.prefillMillis());
-        UpstreamAnswer upstreamResponse =
-                context.ports().upstreams().decode(response.getStatus(), response.getHeaders());
+        load.recordResponseStarted(this, priority, choice.prefillMillis());
+        UpstreamResponse upstreamResponse =
+                context.ports().upstreamProtocol().decode(response.getStatus(), response.getHeaders());
         long nowMillis = context.timers().monotonicMillis();
         upstreamResponse
                 .load()
-                .ifPresent(
-                        report -> load.reported(report.running(), report.waiting(), report.speedPercent(), nowMillis));
+                .ifPresent(report ->
+                        load.recordReport(report.running(), report.waiting(), report.durationPercent(), nowMillis));
         if (!listener.onHead(this, response.getStatus(), response.getHeaders(), upstreamResponse)) {
             response.abort(new ConnectException("the response is not used"));
         }
@@ -134,7 +134,7 @@
         if (!ended.compareAndSet(false, true)) {
             return;
         }
-        load.ended(this, priority, choice.prefillMillis());
+        load.recordEnded(this, priority, choice.prefillMillis());
         if (result.isFailed()) {
             listener.onFailure(this, result.getFailure());
         } else {
--- a/agatelane-node/src/main/java/io/agatelane/node/forward/UpstreamSelection.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/forward/UpstreamSelection.java
@@ -5,16 +5,16 @@
 import io.agatelane.core.fleet.EngineProfile;
 import io.agatelane.core.fleet.FleetAccount;
 import io.agatelane.core.fleet.FleetService;
-import io.agatelane.core.fleet.NamedWeights;
 import io.agatelane.core.fleet.Prompt;
+import io.agatelane.core.fleet.RequestedWeights;
 import io.agatelane.core.fleet.Route;
 import io.agatelane.core.fleet.query.Candidate;
-import io.agatelane.core.fleet.query.CandidateSample;
-import io.agatelane.core.fleet.query.Choice;
-import io.agatelane.core.fleet.query.PromptCache;
+import io.agatelane.core.fleet.query.CandidateSampler;
+import io.agatelane.core.fleet.query.PrefixLocator;
 import io.agatelane.core.fleet.query.PromptRequest;
-import io.agatelane.core.fleet.query.QueueRule;
-import io.agatelane.core.fleet.query.WeightsRule;
+import io.agatelane.core.fleet.query.QueueLimit;
+import io.agatelane.core.fleet.query.StaleWeightsFilter;
+import io.agatelane.core.fleet.query.UpstreamChoice;
 import io.agatelane.node.api.CallerRequest;
 import io.agatelane.node.fleet.FleetSnapshot;
 import java.util.List;
@@ -55,9 +55,9 @@
     /**
      * An upstream to send to.
      *
-     * @param cache locations of the shared parts of the prompt; empty for requests without a prompt
+     * @param prefixLocator locations of the shared parts of the prompt; empty for requests without a prompt
      */
-    record Selected(Choice choice, Optional<PromptCache> cache) {}
+    record Selected(UpstreamChoice choice, Optional<PrefixLocator> prefixLocator) {}
 
     /**
      * Selects an upstream.
@@ -82,7 +82,7 @@
             throw new AgatelaneException(FailureType.NO_UPSTREAM, "no upstream of " + service + " accepts work")
                     .withRetryAfterMillis(BUSY_RETRY_MILLIS);
         }
-        Choice choice = selected.get().choice();
+        UpstreamChoice choice = selected.get().choice();
         if (isFirst && prompt.isPresent()) {
             checkQueue(choice);
         }
@@ -90,8 +90,8 @@
         return selected.get();
     }
 
-    private void checkQueue(Choice choice) {
-        OptionalLong busyMillis = QueueRule.retryAfterMillis(choice, route.latencyObjectiveMillis());
+    private void checkQueue(UpstreamChoice choice) {
+        OptionalLong busyMillis = QueueLimit.retryAfterMillis(choice, route.latencyObjectiveMillis());
         if (busyMillis.isPresent()) {
             throw new AgatelaneException(
                             FailureType.OVERLOADED,
@@ -100,7 +100,7 @@
         }
     }
 
-    private static void checkTime(Choice choice, long leftMillis) {
+    private static void checkTime(UpstreamChoice choice, long leftMillis) {
         double expected = choice.expectedMillis();
         if (expected > leftMillis) {
             long retryMillis = Math.max(BUSY_RETRY_MILLIS, Math.round(expected - leftMillis));
@@ -114,13 +114,13 @@
 
     private Optional<Selected> selectEngine(
             FleetSnapshot snapshot, List<Candidate> candidates, Prompt prompt, EngineProfile engine, long nowMillis) {
-        Optional<NamedWeights> requested = snapshot.requestedWeights(prompt.model());
+        Optional<RequestedWeights> requested = snapshot.requestedWeights(prompt.model());
         List<Candidate> allowed = requested
-                .map(weights -> WeightsRule.allowed(
+                .map(weights -> StaleWeightsFilter.allowedCandidates(
                         candidates, weights, nowMillis, context.settings().weightsMillis()))
                 .orElse(candidates);
-        long newest = requested.map(NamedWeights::newest).orElse(0L);
-        PromptCache cache = new PromptCache(
+        long newest = requested.map(RequestedWeights::newest).orElse(0L);
+        PrefixLocator prefixLocator = new PrefixLocator(
                 context.state().placements(),
                 prompt,
                 engine,
@@ -129,27 +129,27 @@
                 allowed);
         PromptRequest promptRequest =
                 new PromptRequest(prompt, engine, priority, newest, route.latencyObjectiveMillis());
-        List<Candidate> sampled = sample(allowed, prompt, cache, newest);
-        Optional<Choice> choice = context.chooser().chooseForPrompt(sampled, promptRequest, cache);
+        List<Candidate> sampled = sample(allowed, prompt, prefixLocator, newest);
+        Optional<UpstreamChoice> choice = context.chooser().chooseForPrompt(sampled, promptRequest, prefixLocator);
         boolean isBusy = choice.isEmpty()
-                || QueueRule.retryAfterMillis(choice.get(), route.latencyObjectiveMillis())
+                || QueueLimit.retryAfterMillis(choice.get(), route.latencyObjectiveMillis())
                         .isPresent();
         // A request is refused only when no engine at all could take it.
         boolean compareAll = isBusy && sampled.size() < allowed.size();
-        return (compareAll ? context.chooser().chooseForPrompt(allowed, promptRequest, cache) : choice)
-                .map(found -> new Selected(found, Optional.of(cache)));
+        return (compareAll ? context.chooser().chooseForPrompt(allowed, promptRequest, prefixLocator) : choice)
+                .map(found -> new Selected(found, Optional.of(prefixLocator)));
     }
 
-    private List<Candidate> sample(List<Candidate> allowed, Prompt prompt, PromptCache cache, long newest) {
-        if (context.state().routerCount() <= CandidateSample.SMALL_FLEET) {
+    private List<Candidate> sample(List<Candidate> allowed, Prompt prompt, PrefixLocator prefixLocator, long newest) {
+        if (context.state().routerCount() <= CandidateSampler.MAX_ROUTERS_WITHOUT_SAMPLING) {
             return allowed;
         }
-        CandidateSample candidateSample = new CandidateSample(context.settings().zone(), newest);
-        return cache.hasLongPrefix()
-                ? candidateSample.forPrefix(
+        CandidateSampler sampler = new CandidateSampler(context.settings().zone(), newest);
+        return prefixLocator.hasLongPrefix()
+                ? sampler.sampleForPrefix(
                         allowed,
                         prompt.sharedPrefixId(),
-                        candidate -> cache.holds(candidate) || cache.isReading(candidate))
-                : candidateSample.forRequest(allowed, caller.id());
+                        candidate -> prefixLocator.holds(candidate) || prefixLocator.isPrefilling(candidate))
+                : sampler.sampleForRequest(allowed, caller.id());
     }
 }
--- a/agatelane-node/src/main/java/io/agatelane/node/impl/RouterNode.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/impl/RouterNode.java
@@ -126,8 +126,8 @@
         ready = false;
         membership.announceLeaving();
         pause(settings.drainDelayMillis());
-        engineTraffic.refuseNew();
-        serviceTraffic.refuseNew();
+        engineTraffic.refuseNewRequests();
+        serviceTraffic.refuseNewRequests();
         CompletableFuture<Void> drained = CompletableFuture.allOf(engineTraffic.drained(), serviceTraffic.drained());
         boolean complete = await(drained, settings.graceMillis());
         LOG.event("shutdown_drained").with("complete", complete).info();
@@ -153,7 +153,7 @@
         startComponent(peers::start, peers);
         startComponent(membership::start, membership);
         config.onChange(snapshot -> membership.setConfigRevision(snapshot.revision()));
-        membership.onRevision(config::revisionAnnounced);
+        membership.onConfigRevision(config::revisionAnnounced);
         startComponent(() -> await(config.start().thenApply(snapshot -> null), MAX_CONFIG_WAIT_MILLIS), config);
         startComponent(engineTraffic::start, engineTraffic);
         startComponent(serviceTraffic::start, serviceTraffic);
--- a/agatelane-node/src/main/java/io/agatelane/node/io/engine/Admission.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/io/engine/Admission.java
@@ -96,11 +96,11 @@
      */
     long admit(ChatRequest request, EngineChoice choice, long nowMillis) {
         long tokens = request.prompt().tokenCount() + (long) expectedOutput(request);
-        limiter.ask(request.account(), tokens, nowMillis);
+        limiter.recordDemand(request.account(), tokens, nowMillis);
         UpstreamState state = choice.engine().state();
-        double expectedMillis = AdmissionCheck.corrected(
-                choice.totalMillis(), state.latencyFactor(), nowMillis - state.latencyMillis());
-        AdmissionCheck.requireInTime(expectedMillis, request.policy());
+        double expectedMillis = AdmissionCheck.correctedMillis(
+                choice.totalMillis(), state.latencyFactor(), nowMillis - state.lastLatencySampleMillis());
+        AdmissionCheck.requireWithinDeadline(expectedMillis, request.policy());
         double pressure = AdmissionCheck.pressure(expectedMillis, request.policy());
         limiter.admit(request.account(), tokens, pressure, nowMillis);
         retries.recordRequest(request.policy().retryPercent());
@@ -112,7 +112,7 @@
 
     /** Replaces the tokens charged at admission by the tokens that the request used. */
     void settle(ChatRequest request, long chargedTokens, long promptTokens, long generatedTokens, long nowMillis) {
-        limiter.settle(request.account(), promptTokens + generatedTokens - chargedTokens, nowMillis);
+        limiter.correctCharge(request.account(), promptTokens + generatedTokens - chargedTokens, nowMillis);
         if (generatedTokens > 0) {
             averageOutputTokens.merge(
                     outputKey(request),
--- a/agatelane-node/src/main/java/io/agatelane/node/io/engine/Dispatcher.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/io/engine/Dispatcher.java
@@ -5,7 +5,7 @@
 import io.agatelane.core.routing.Decision;
 import io.agatelane.core.routing.ModelFleet;
 import io.agatelane.core.routing.RequestProfile;
-import io.agatelane.core.routing.query.ChoiceRules;
+import io.agatelane.core.routing.query.ChoiceConstraints;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 
@@ -29,10 +29,10 @@
     EngineChoice choose(
             ChatRequest request, String requestId, RequestProfile profile, Set<String> tried, int attemptNumber) {
         ModelFleet fleet = traffic.table().fleet(request.model());
-        ChoiceRules rules =
-                new ChoiceRules(request.policy(), traffic.routers(), upstream -> tried.contains(upstream.name()));
+        ChoiceConstraints constraints =
+                new ChoiceConstraints(request.policy(), traffic.routers(), upstream -> tried.contains(upstream.name()));
         long startNanos = System.nanoTime();
-        Decision decision = traffic.chooser().choose(fleet, profile, rules, traffic.nowMillis());
+        Decision decision = traffic.chooser().choose(fleet, profile, constraints, traffic.nowMillis());
         traffic.metrics().decisionMicros.update(TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - startNanos));
         RouteLog.write(requestId, request, decision, attemptNumber);
         if (decision.best() < 0) {
--- a/agatelane-node/src/main/java/io/agatelane/node/io/engine/EngineCacheEvents.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/io/engine/EngineCacheEvents.java
@@ -165,7 +165,7 @@
         }
 
         private void dropHints() {
-            engine.state().dropHints();
+            engine.state().invalidateHints();
             hintKey = engine.state().hintKey(incarnation);
         }
 
--- a/agatelane-node/src/main/java/io/agatelane/node/io/engine/EngineTable.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/io/engine/EngineTable.java
@@ -6,8 +6,8 @@
 import io.agatelane.core.routing.LoadReport;
 import io.agatelane.core.routing.ModelFleet;
 import io.agatelane.core.routing.UpstreamState;
-import io.agatelane.core.routing.command.ProbationReview;
-import io.agatelane.core.routing.query.VersionChoice;
+import io.agatelane.core.routing.command.StragglerProbation;
+import io.agatelane.core.routing.query.VersionSelector;
 import io.agatelane.node.api.NodeContext;
 import io.agatelane.node.util.EventLog;
 import java.util.Collections;
@@ -68,7 +68,7 @@
         if (current == null) {
             return configured;
         }
-        String version = current.versions().choose(configured.weightsVersion(), seed);
+        String version = current.versionSelector().choose(configured.weightsVersion(), seed);
         return version.equals(configured.weightsVersion()) ? configured : configured.withWeightsVersion(version);
     }
 
@@ -112,9 +112,9 @@
         state.setRoundTripMillis(smoothedRoundTripMillis(state.roundTripMillis(), roundTripMillis));
         // A draining mark set by a peer is cleared once a later report of the engine itself does not say that it is
         // draining.
-        boolean markExpired = report.measuredAtMillis() - state.leavingByPeerMillis() > MIN_PEER_MARK_MILLIS;
-        if (state.leavingByPeer() && !report.draining() && markExpired) {
-            state.setLeavingByPeer(false, report.measuredAtMillis());
+        boolean markExpired = report.measuredAtMillis() - state.drainingByPeerMillis() > MIN_PEER_MARK_MILLIS;
+        if (state.drainingByPeer() && !report.draining() && markExpired) {
+            state.setDrainingByPeer(false, report.measuredAtMillis());
         }
         boolean replaced = previous == null
                 || !previous.incarnation().equals(report.incarnation())
@@ -135,7 +135,7 @@
     /** Puts stragglers on probation and ends probations. Runs on the control thread. */
     void updateProbations(long nowMillis) {
         for (Model model : config.models()) {
-            for (UpstreamState state : ProbationReview.review(statesOf(model), nowMillis)) {
+            for (UpstreamState state : StragglerProbation.update(statesOf(model), nowMillis)) {
                 LOG.event(state.probation() ? "probation_started" : "probation_ended")
                         .with("upstream", state.name())
                         .with("latency_factor", state.latencyFactor())
@@ -181,7 +181,7 @@
                     new ModelFleet(
                             model.name(), version, states, context.settings().availabilityZone()));
         }
-        return new ServedModel(fleets, VersionChoice.of(fleets));
+        return new ServedModel(fleets, VersionSelector.of(fleets));
     }
 
     // A poll measures the network and any delay in both processes. The shortest polls are closest to the network round
@@ -204,7 +204,7 @@
             next = new Engine(
                     upstream, new UpstreamState(upstream.name(), upstream.availabilityZone(), roundTripMillis));
         }
-        next.state().setLeavingByConfig(upstream.draining());
+        next.state().setDrainingByConfig(upstream.draining());
         return next;
     }
 
@@ -232,5 +232,5 @@
                 && state.isReady(report.model(), report.weightsVersion());
     }
 
-    private record ServedModel(Map<String, ModelFleet> fleets, VersionChoice versions) {}
+    private record ServedModel(Map<String, ModelFleet> fleets, VersionSelector versionSelector) {}
 }
--- a/agatelane-node/src/main/java/io/agatelane/node/io/engine/EngineTraffic.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/io/engine/EngineTraffic.java
@@ -9,10 +9,10 @@
 import io.agatelane.core.routing.Decision;
 import io.agatelane.core.routing.LoadReport;
 import io.agatelane.core.routing.UpstreamState;
-import io.agatelane.core.routing.query.ChoiceRules;
+import io.agatelane.core.routing.query.ChoiceConstraints;
 import io.agatelane.node.api.ConfigView;
-import io.agatelane.node.api.DigestExchange;
 import io.agatelane.node.api.Drainable;
+import io.agatelane.node.api.GossipHintExchange;
 import io.agatelane.node.api.NodeContext;
 import io.agatelane.node.api.RoutingInspector;
 import io.agatelane.node.api.Subscription;
@@ -46,8 +46,9 @@
     private Subscription configSubscription = () -> {};
     private Subscription probationSubscription = () -> {};
 
-    public EngineTraffic(NodeContext context, ConfigView config, DigestExchange digests, Authenticator authenticator) {
-        this.traffic = new TrafficContext(context, digests);
+    public EngineTraffic(
+            NodeContext context, ConfigView config, GossipHintExchange hintExchange, Authenticator authenticator) {
+        this.traffic = new TrafficContext(context, hintExchange);
         this.config = config;
         this.poller = new LoadPoller(traffic);
         this.handler = new ChatHandler(traffic, config, authenticator, gate);
@@ -83,7 +84,7 @@
     }
 
     @Override
-    public void refuseNew() {
+    public void refuseNewRequests() {
         gate.refuseNew();
     }
 
@@ -109,9 +110,13 @@
                         "the client account " + explainRequest.getClientAccount() + " is unknown"));
         byte[] body = explainRequest.getBody().getBytes(StandardCharsets.UTF_8);
         ChatRequest request = ChatRequest.parse(body, account, snapshot, traffic.table());
-        ChoiceRules rules = new ChoiceRules(request.policy(), traffic.routers(), upstream -> false);
+        ChoiceConstraints constraints = new ChoiceConstraints(request.policy(), traffic.routers(), upstream -> false);
         Decision decision = traffic.chooser()
-                .choose(traffic.table().fleet(request.model()), traffic.profile(request), rules, traffic.nowMillis());
+                .choose(
+                        traffic.table().fleet(request.model()),
+                        traffic.profile(request),
+                        constraints,
+                        traffic.nowMillis());
         ExplainResponse.Builder response = ExplainResponse.newBuilder();
         if (decision.best() >= 0) {
             response.setChosenUpstream(decision.upstream(decision.best()).name());
@@ -179,7 +184,7 @@
         if (!state.reachable() || report == null) {
             return "down";
         }
-        if (state.leaving() || report.draining()) {
+        if (state.isDraining() || report.draining()) {
             return "draining";
         }
         return state.probation() ? "probation" : "ready";
--- a/agatelane-node/src/main/java/io/agatelane/node/io/engine/GossipLink.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/io/engine/GossipLink.java
@@ -6,7 +6,7 @@
 import io.agatelane.core.poison.SuspectTable.Suspect;
 import io.agatelane.core.routing.LoadReport;
 import io.agatelane.core.routing.UpstreamState;
-import io.agatelane.node.api.DigestExchange;
+import io.agatelane.node.api.GossipHintExchange;
 import io.agatelane.node.api.NodeContext;
 import io.agatelane.node.api.Subscription;
 import io.agatelane.node.util.EventLog;
@@ -30,7 +30,7 @@
     private static final long TYPICAL_DIGEST_AGE_MILLIS = 500;
 
     private final NodeContext context;
-    private final DigestExchange digests;
+    private final GossipHintExchange hintExchange;
     private final EngineTable table;
     private final Admission admission;
     private final Map<String, Long> lastReceivedMillisByVm = new HashMap<>();
@@ -44,9 +44,9 @@
     /** What was last published about an engine. */
     private record Published(long millis, boolean draining, boolean probation) {}
 
-    GossipLink(NodeContext context, DigestExchange digests, EngineTable table, Admission admission) {
+    GossipLink(NodeContext context, GossipHintExchange hintExchange, EngineTable table, Admission admission) {
         this.context = context;
-        this.digests = digests;
+        this.hintExchange = hintExchange;
         this.table = table;
         this.admission = admission;
         // Sequence numbers of a restarted router are above those of its previous incarnation.
@@ -54,9 +54,9 @@
     }
 
     void start() {
-        digests.onAccountUsage(usage -> context.control().execute(() -> receive(usage)));
-        digests.onQuarantine(quarantine -> context.control().execute(() -> receive(quarantine)));
-        digests.onUpstreamDigest(digest -> context.control().execute(() -> receive(digest)));
+        hintExchange.onAccountUsage(usage -> context.control().execute(() -> receive(usage)));
+        hintExchange.onQuarantine(quarantine -> context.control().execute(() -> receive(quarantine)));
+        hintExchange.onUpstreamDigest(digest -> context.control().execute(() -> receive(digest)));
         timer = context.timers().every("account-usage", USAGE_PERIOD_MILLIS, this::publishUsages);
     }
 
@@ -77,9 +77,9 @@
         Quarantine message = Quarantine.newBuilder()
                 .setFingerprint(ByteString.copyFrom(HexFormat.of().parseHex(fingerprint)))
                 .setCrashes(crashes)
-                .setRemainingMillis(suspect.untilMillis() - context.timers().monotonicMillis())
+                .setRemainingMillis(suspect.expiresMillis() - context.timers().monotonicMillis())
                 .build();
-        context.control().execute(() -> digests.publish(message));
+        context.control().execute(() -> hintExchange.publish(message));
     }
 
     /**
@@ -102,7 +102,7 @@
             return;
         }
         published.put(engine.name(), new Published(nowMillis, draining, state.probation()));
-        digests.publish(UpstreamDigest.newBuilder()
+        hintExchange.publish(UpstreamDigest.newBuilder()
                 .setUpstream(engine.name())
                 .setIncarnation(report.incarnation())
                 .setRunning(report.running())
@@ -126,7 +126,7 @@
         lastReceivedMillisByVm.values().removeIf(receivedMillis -> nowMillis - receivedMillis > ROUTER_EXPIRY_MILLIS);
         routers = lastReceivedMillisByVm.size() + 1;
         for (AccountLimiter.Demand demand : admission.limiter().demands(nowMillis)) {
-            digests.publish(AccountUsage.newBuilder()
+            hintExchange.publish(AccountUsage.newBuilder()
                     .setClientAccount(demand.account())
                     .setVm(context.settings().vmName())
                     .setDemandTokensPerSecond(demand.tokensPerSecond())
@@ -144,7 +144,7 @@
         routers = lastReceivedMillisByVm.size() + 1;
         admission
                 .limiter()
-                .hear(
+                .recordPeerDemand(
                         usage.getClientAccount(),
                         usage.getVm(),
                         usage.getDemandTokensPerSecond(),
@@ -158,7 +158,7 @@
         long nowMillis = context.timers().monotonicMillis();
         boolean mustForward = admission
                 .crashes()
-                .heard(fingerprint, quarantine.getCrashes(), quarantine.getRemainingMillis(), nowMillis);
+                .mergeRemoteCrashes(fingerprint, quarantine.getCrashes(), quarantine.getRemainingMillis(), nowMillis);
         if (mustForward) {
             publish(
                     fingerprint,
@@ -174,8 +174,8 @@
         }
         long nowMillis = context.timers().monotonicMillis();
         if (digest.getDraining()) {
-            boolean firstMark = !engine.state().leavingByPeer();
-            engine.state().setLeavingByPeer(true, nowMillis);
+            boolean firstMark = !engine.state().drainingByPeer();
+            engine.state().setDrainingByPeer(true, nowMillis);
             if (firstMark) {
                 LOG.event("engine_leaving")
                         .with("upstream", engine.name())
--- a/agatelane-node/src/main/java/io/agatelane/node/io/engine/TrafficContext.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/io/engine/TrafficContext.java
@@ -6,8 +6,8 @@
 import io.agatelane.core.routing.HintTable;
 import io.agatelane.core.routing.PrefixRates;
 import io.agatelane.core.routing.RequestProfile;
-import io.agatelane.core.routing.query.Chooser;
-import io.agatelane.node.api.DigestExchange;
+import io.agatelane.core.routing.query.EngineChooser;
+import io.agatelane.node.api.GossipHintExchange;
 import io.agatelane.node.api.NodeContext;
 import io.agatelane.node.cfg.Settings;
 import io.agatelane.node.util.EventLog;
@@ -36,7 +36,8 @@
     private final HintTable hints = new HintTable(HINT_TABLE_BITS);
     private final TrafficMetrics metrics;
     private final PrefixRates prefixRates = new PrefixRates(RATE_TABLE_BITS);
-    private final ThreadLocal<Chooser> choosers = ThreadLocal.withInitial(() -> new Chooser(hints, prefixRates));
+    private final ThreadLocal<EngineChooser> choosers =
+            ThreadLocal.withInitial(() -> new EngineChooser(hints, prefixRates));
     private final Admission admission = new Admission();
     private final Dispatcher dispatcher = new Dispatcher(this);
     private final FirstTokenTimes firstTokenTimes = new FirstTokenTimes();
@@ -46,10 +47,10 @@
     private final long nonceKey;
     private final AtomicLong nonceCounter = new AtomicLong();
 
-    TrafficContext(NodeContext context, DigestExchange digests) {
+    TrafficContext(NodeContext context, GossipHintExchange hintExchange) {
         this.context = context;
         this.table = new EngineTable(context);
-        this.gossip = new GossipLink(context, digests, table, admission);
+        this.gossip = new GossipLink(context, hintExchange, table, admission);
         this.metrics = new TrafficMetrics(context.metrics());
         Settings settings = context.settings();
         long seed = settings.randomSeed() == 0 ? Rendezvous.hash(settings.vmName()) : settings.randomSeed();
@@ -160,7 +161,7 @@
     void recordCrash(ChatCall call, ChatRequest request, Engine engine) {
         metrics.crashes.inc();
         RequestFingerprint fingerprint = request.fingerprint();
-        Suspect suspect = admission.crashes().crashed(fingerprint.hex(), nowMillis());
+        Suspect suspect = admission.crashes().recordCrash(fingerprint.hex(), nowMillis());
         LOG.event("crash_suspect")
                 .with("fingerprint", fingerprint.hex())
                 .with("upstream", engine.name())
@@ -180,8 +181,9 @@
      */
     void recordCrashOfResumedStream(ChatRequest request) {
         metrics.crashes.inc();
-        var unused =
-                admission.crashes().heard(request.fingerprint().hex(), 1, SuspectTable.QUARANTINE_MILLIS, nowMillis());
+        var unused = admission
+                .crashes()
+                .mergeRemoteCrashes(request.fingerprint().hex(), 1, SuspectTable.QUARANTINE_MILLIS, nowMillis());
     }
 
     /**
@@ -207,7 +209,7 @@
     }
 
     /** The calling thread's chooser. */
-    Chooser chooser() {
+    EngineChooser chooser() {
         return choosers.get();
     }
 
--- a/agatelane-node/src/main/java/io/agatelane/node/io/gossip/GossipMembership.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/io/gossip/GossipMembership.java
@@ -13,7 +13,7 @@
 import io.agatelane.core.membership.command.SwimProtocol;
 import io.agatelane.core.membership.query.MembershipSnapshot;
 import io.agatelane.core.membership.query.SwimCounter;
-import io.agatelane.node.api.DigestExchange;
+import io.agatelane.node.api.GossipHintExchange;
 import io.agatelane.node.api.KeyValueStore;
 import io.agatelane.node.api.Member;
 import io.agatelane.node.api.MemberState;
@@ -39,7 +39,7 @@
  * SWIM membership of the routers and exchange of hints over UDP. The protocol runs on the control thread; queries and
  * {@code publish} are safe on every thread.
  */
-public final class GossipMembership implements MembershipView, DigestExchange, AutoCloseable {
+public final class GossipMembership implements MembershipView, GossipHintExchange, AutoCloseable {
     private static final EventLog LOG = EventLog.of(GossipMembership.class);
 
     private final NodeContext context;
@@ -132,7 +132,7 @@
      * Registers a listener that is called on the control thread with a peer's name and configuration revision when that
      * peer announces a higher revision than before.
      */
-    public void onRevision(BiConsumer<String, Long> listener) {
+    public void onConfigRevision(BiConsumer<String, Long> listener) {
         revisionListeners.add(listener);
     }
 
@@ -241,7 +241,7 @@
     private void readMemberKeys() {
         memberKeys.read(members -> context.control().execute(() -> {
             if (!closed) {
-                protocol.learn(members, now());
+                protocol.updatePlatformMembers(members, now());
                 refreshView();
                 writeOwnKeyIfMissing(members);
             }
@@ -303,7 +303,7 @@
         }
 
         @Override
-        public void revisionHeard(String name, long revision) {
+        public void configRevisionReceived(String name, long revision) {
             revisionListeners.forEach(listener -> listener.accept(name, revision));
         }
 
@@ -324,7 +324,8 @@
             LOG.event("member_forgotten").with("member", last.name()).info();
             // One live router, chosen by rendezvous hashing, deletes the key; the others would repeat the same call.
             List<Member> live = liveMembers();
-            int chosen = Rendezvous.first(Rendezvous.hash(last.name()), live, member -> Rendezvous.hash(member.name()));
+            int chosen = Rendezvous.indexOfHighest(
+                    Rendezvous.hash(last.name()), live, member -> Rendezvous.hash(member.name()));
             if (chosen >= 0 && live.get(chosen).name().equals(self().name())) {
                 memberKeys.delete(last);
             }
--- a/agatelane-node/src/main/java/io/agatelane/node/io/orders/OrderController.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/io/orders/OrderController.java
@@ -10,7 +10,7 @@
 import io.agatelane.core.orders.OrderTiming;
 import io.agatelane.core.orders.SendOutcome;
 import io.agatelane.core.orders.command.OrderMachine;
-import io.agatelane.core.orders.query.OrderPlan;
+import io.agatelane.core.orders.query.OrderAssignment;
 import io.agatelane.node.api.ConfigView;
 import io.agatelane.node.api.KeyValue;
 import io.agatelane.node.api.KeyValueStore;
@@ -136,16 +136,17 @@
         }
         assignedLiveRouters = liveRouters;
         assignedRevision = snapshot.revision();
-        Map<String, DesiredState> orders = OrderPlan.ordersOf(context.settings().vmName(), liveRouters, snapshot);
+        Map<String, DesiredState> orders =
+                OrderAssignment.ordersOf(context.settings().vmName(), liveRouters, snapshot);
         for (Map.Entry<String, DesiredState> order : orders.entrySet()) {
             Upstream upstream = snapshot.upstream(order.getKey()).orElseThrow();
             Task task = tasks.computeIfAbsent(order.getKey(), name -> new Task(upstream, newMachine(name)));
             task.upstream = upstream;
-            task.machine.desire(Optional.of(order.getValue()), snapshot.revision(), upstream.checksFencing());
+            task.machine.setDesired(Optional.of(order.getValue()), snapshot.revision(), upstream.checksFencing());
         }
         tasks.forEach((name, task) -> {
             if (!orders.containsKey(name)) {
-                task.machine.desire(Optional.empty(), snapshot.revision(), task.upstream.checksFencing());
+                task.machine.setDesired(Optional.empty(), snapshot.revision(), task.upstream.checksFencing());
             }
         });
     }
@@ -160,7 +161,7 @@
         }
         // The age of a result counts from the start of its call, since this process may be paused before it handles it.
         long startMillis = now();
-        OrderStep step = task.machine.next(startMillis);
+        OrderStep step = task.machine.nextStep(startMillis);
         switch (step) {
             case WAIT -> {}
             case READ_ENGINE -> continueWith(
@@ -242,10 +243,10 @@
 
     private void leaseTaken(Task task, Optional<HolderLease.Term> term) {
         if (term.isPresent()) {
-            task.machine.leaseHeld(term.get().heldSinceMillis(), term.get().expiresMillis());
+            task.machine.leaseAcquired(term.get().heldSinceMillis(), term.get().expiresMillis());
         } else {
             task.machine.leaseLost();
-            task.machine.waitFor(SLOT_RETRY_MILLIS, now());
+            task.machine.postpone(SLOT_RETRY_MILLIS, now());
         }
     }
 
@@ -254,7 +255,7 @@
             return;
         }
         slotRequester = task;
-        Set<String> sameModel = OrderPlan.enginesOfSameModel(task.upstream, config.current());
+        Set<String> sameModel = OrderAssignment.enginesOfSameModel(task.upstream, config.current());
         startPlatformCall(task, () -> slots.take(task.name(), sameModel), heldSinceMillis -> {
             if (heldSinceMillis.isPresent()) {
                 task.machine.slotTaken(heldSinceMillis.get());
--- a/agatelane-node/src/main/java/io/agatelane/node/io/orders/SlotKeys.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/io/orders/SlotKeys.java
@@ -67,7 +67,7 @@
             }
         }
         long startMillis = context.timers().monotonicMillis();
-        Optional<LoadSlots.Choice> choice = slots.choose(takenSlots, sameModel, startMillis);
+        Optional<LoadSlots.SlotChoice> choice = slots.choose(takenSlots, sameModel, startMillis);
         if (choice.isEmpty()) {
             return CompletableFuture.completedFuture(Optional.empty());
         }
--- a/agatelane-node/src/main/java/io/agatelane/node/io/service/BookedCalls.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/io/service/BookedCalls.java
@@ -1,8 +1,8 @@
 package io.agatelane.node.io.service;
 
-import io.agatelane.core.booking.Answer;
 import io.agatelane.core.booking.BookingKey;
 import io.agatelane.core.booking.Outcome;
+import io.agatelane.core.booking.ServiceResponse;
 import io.agatelane.core.failure.AgatelaneException;
 import io.agatelane.core.failure.Executed;
 import io.agatelane.core.failure.FailureType;
@@ -33,13 +33,13 @@
         this.bookings = bookings;
     }
 
-    CompletableFuture<Answer> run(ServiceRequest call) {
-        CompletableFuture<Answer> result = new CompletableFuture<>();
+    CompletableFuture<ServiceResponse> run(ServiceRequest call) {
+        CompletableFuture<ServiceResponse> result = new CompletableFuture<>();
         context.control().execute(() -> claim(call, result));
         return result;
     }
 
-    private void claim(ServiceRequest call, CompletableFuture<Answer> result) {
+    private void claim(ServiceRequest call, CompletableFuture<ServiceResponse> result) {
         BookingKey key = new BookingKey(call.clientAccount(), call.service().name(), call.idempotencyKey());
         String digest = Digests.ofRequest(
                 call.operation().method(), call.target(), call.body().bytes());
@@ -57,7 +57,7 @@
 
     // Nothing is sent before a connection is open, so another instance may be tried under the same claim.
     private void connect(
-            ServiceRequest call, ServiceAttempt attempt, Set<String> tried, CompletableFuture<Answer> result) {
+            ServiceRequest call, ServiceAttempt attempt, Set<String> tried, CompletableFuture<ServiceResponse> result) {
         Optional<ServiceInstance> chosen = calls.choose(call.service().name(), tried);
         if (chosen.isEmpty()) {
             // The caller is refused before the claim is released, since another attempt may run after the release.
@@ -84,7 +84,7 @@
             ServiceAttempt attempt,
             ServiceInstance instance,
             InstanceCalls.CallConnection connection,
-            CompletableFuture<Answer> result) {
+            CompletableFuture<ServiceResponse> result) {
         LOG.event("booked_call_sent")
                 .with("request", call.requestId())
                 .with("upstream", instance.name)
@@ -97,7 +97,11 @@
     }
 
     // The caller gets the response without waiting for its record, which may take as long as an outage of the platform.
-    private void finish(ServiceAttempt attempt, Answer response, Throwable failure, CompletableFuture<Answer> result) {
+    private void finish(
+            ServiceAttempt attempt,
+            ServiceResponse response,
+            Throwable failure,
+            CompletableFuture<ServiceResponse> result) {
         if (failure != null) {
             bookings.record(attempt, Outcome.unknown());
             result.completeExceptionally(AgatelaneException.from(failure)
@@ -106,7 +110,7 @@
             return;
         }
         boolean storable = response.body().length <= context.settings().maxAnswerBytes();
-        bookings.record(attempt, storable ? Outcome.answered(response) : Outcome.unknown());
+        bookings.record(attempt, storable ? Outcome.finished(response) : Outcome.unknown());
         result.complete(response);
     }
 }
--- a/agatelane-node/src/main/java/io/agatelane/node/io/service/BookingClient.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/io/service/BookingClient.java
@@ -1,9 +1,9 @@
 package io.agatelane.node.io.service;
 
-import io.agatelane.core.booking.Answer;
 import io.agatelane.core.booking.AttemptId;
 import io.agatelane.core.booking.BookingKey;
 import io.agatelane.core.booking.Outcome;
+import io.agatelane.core.booking.ServiceResponse;
 import io.agatelane.core.failure.AgatelaneException;
 import io.agatelane.core.failure.Executed;
 import io.agatelane.core.failure.FailureType;
@@ -152,7 +152,7 @@
         abandon(attempt);
         switch (response.getVerdict()) {
             case FINISHED -> {
-                Answer earlier = BookingCodec.fromWire(response.getAnswer());
+                ServiceResponse earlier = BookingCodec.fromWire(response.getAnswer());
                 result.complete(ClaimResult.finished(earlier));
             }
             case MISMATCH -> result.completeExceptionally(new AgatelaneException(
@@ -193,8 +193,8 @@
                 .setKey(BookingCodec.toWire(attempt.key))
                 .setAttempt(BookingCodec.toWire(attempt.id));
         switch (attempt.outcome.kind()) {
-            case ANSWERED -> request.setAnswer(
-                    BookingCodec.toWire(attempt.outcome.answer().orElseThrow()));
+            case FINISHED -> request.setAnswer(
+                    BookingCodec.toWire(attempt.outcome.response().orElseThrow()));
             case RELEASED -> request.setReleased(true);
             default -> request.setUnknown(true);
         }
@@ -253,9 +253,10 @@
             return;
         }
         switch (attempt.outcome.kind()) {
-            case ANSWERED -> {
+            case FINISHED -> {
                 response.setState(AttemptAnswer.State.FINISHED);
-                response.setAnswer(BookingCodec.toWire(attempt.outcome.answer().orElseThrow()));
+                response.setAnswer(
+                        BookingCodec.toWire(attempt.outcome.response().orElseThrow()));
             }
             case RELEASED -> response.setState(AttemptAnswer.State.NEVER_SENT);
             default -> response.setState(AttemptAnswer.State.SENT_WITHOUT_ANSWER);
@@ -263,12 +264,12 @@
     }
 
     /** Result of a claim: either the granted attempt or the response of an earlier attempt is present. */
-    record ClaimResult(Optional<ServiceAttempt> granted, Optional<Answer> finished) {
+    record ClaimResult(Optional<ServiceAttempt> granted, Optional<ServiceResponse> finished) {
         static ClaimResult granted(ServiceAttempt attempt) {
             return new ClaimResult(Optional.of(attempt), Optional.empty());
         }
 
-        static ClaimResult finished(Answer response) {
+        static ClaimResult finished(ServiceResponse response) {
             return new ClaimResult(Optional.empty(), Optional.of(response));
         }
     }
--- a/agatelane-node/src/main/java/io/agatelane/node/io/service/BookingCodec.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/io/service/BookingCodec.java
@@ -2,13 +2,13 @@
 
 import com.google.protobuf.ByteString;
 import com.google.protobuf.InvalidProtocolBufferException;
-import io.agatelane.core.booking.Answer;
 import io.agatelane.core.booking.AttemptId;
 import io.agatelane.core.booking.Booking;
 import io.agatelane.core.booking.BookingKey;
 import io.agatelane.core.booking.BookingState;
 import io.agatelane.core.booking.SealedRef;
 import io.agatelane.core.booking.Segment;
+import io.agatelane.core.booking.ServiceResponse;
 import io.agatelane.core.failure.AgatelaneException;
 import io.agatelane.core.failure.FailureType;
 import io.agatelane.wire.store.BookingEntry;
@@ -68,7 +68,7 @@
         return new AttemptId(attempt.getVmName(), attempt.getVmIncarnation(), attempt.getNumber());
     }
 
-    static StoredAnswer toWire(Answer response) {
+    static StoredAnswer toWire(ServiceResponse response) {
         return StoredAnswer.newBuilder()
                 .setStatus(response.status())
                 .setContentType(response.contentType())
@@ -76,8 +76,8 @@
                 .build();
     }
 
-    static Answer fromWire(StoredAnswer response) {
-        return new Answer(
+    static ServiceResponse fromWire(StoredAnswer response) {
+        return new ServiceResponse(
                 response.getStatus(),
                 response.getContentType(),
                 response.getBody().toByteArray());
@@ -121,7 +121,7 @@
         return new Segment(segment.getNumber(), entries, refs, segment.getWriter());
     }
 
-    static Answer decodeResponse(String key, byte[] value) {
+    static ServiceResponse decodeResponse(String key, byte[] value) {
         try {
             return fromWire(StoredAnswer.parseFrom(value));
         } catch (InvalidProtocolBufferException e) {
@@ -140,12 +140,13 @@
                 .setRequestDigest(digestToWire(booking.requestDigest()))
                 .setState(state(booking.state()))
                 .setClaimedEpochMillis(booking.claimedEpochMillis());
-        booking.answer().ifPresent(response -> builder.setAnswer(toWire(response)));
+        booking.response().ifPresent(response -> builder.setAnswer(toWire(response)));
         return builder.build();
     }
 
     private static Booking toBooking(BookingEntry entry) {
-        Optional<Answer> response = entry.hasAnswer() ? Optional.of(fromWire(entry.getAnswer())) : Optional.empty();
+        Optional<ServiceResponse> response =
+                entry.hasAnswer() ? Optional.of(fromWire(entry.getAnswer())) : Optional.empty();
         return new Booking(
                 fromWire(entry.getKey()),
                 fromWire(entry.getAttempt()),
--- a/agatelane-node/src/main/java/io/agatelane/node/io/service/BookingOwner.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/io/service/BookingOwner.java
@@ -1,13 +1,13 @@
 package io.agatelane.node.io.service;
 
-import io.agatelane.core.booking.Answer;
 import io.agatelane.core.booking.AttemptId;
 import io.agatelane.core.booking.BookingKey;
-import io.agatelane.core.booking.BookingRules;
+import io.agatelane.core.booking.BookingLimits;
 import io.agatelane.core.booking.ClaimantState;
 import io.agatelane.core.booking.Outcome;
+import io.agatelane.core.booking.ServiceResponse;
 import io.agatelane.core.booking.command.Effect;
-import io.agatelane.core.booking.command.Now;
+import io.agatelane.core.booking.command.EventTime;
 import io.agatelane.core.booking.command.PartitionMachine;
 import io.agatelane.core.failure.AgatelaneException;
 import io.agatelane.core.failure.FailureType;
@@ -52,7 +52,7 @@
     private final PeerTransport peers;
     private final PartitionStore store;
     private final PartitionOwners owners;
-    private final BiFunction<Service, String, CompletableFuture<Optional<Answer>>> statusCall;
+    private final BiFunction<Service, String, CompletableFuture<Optional<ServiceResponse>>> statusCall;
     private final Map<Integer, PartitionMachine> machines = new HashMap<>();
     private final Map<Long, PendingResponse> pendingResponses = new HashMap<>();
     private final boolean[] ownedPartitions = new boolean[BookingKey.PARTITIONS];
@@ -70,7 +70,7 @@
             MembershipView membership,
             PeerTransport peers,
             PartitionStore store,
-            BiFunction<Service, String, CompletableFuture<Optional<Answer>>> statusCall) {
+            BiFunction<Service, String, CompletableFuture<Optional<ServiceResponse>>> statusCall) {
         this.context = context;
         this.config = config;
         this.membership = membership;
@@ -114,7 +114,7 @@
         AttemptId attempt = BookingCodec.fromWire(request.getAttempt());
         Outcome outcome =
                 switch (request.getOutcomeCase()) {
-                    case ANSWER -> Outcome.answered(BookingCodec.fromWire(request.getAnswer()));
+                    case ANSWER -> Outcome.finished(BookingCodec.fromWire(request.getAnswer()));
                     case RELEASED -> Outcome.released();
                     case UNKNOWN -> Outcome.unknown();
                     default -> throw new AgatelaneException(FailureType.MALFORMED_REQUEST, "an outcome is required");
@@ -151,7 +151,7 @@
         PartitionMachine machine = machines.computeIfAbsent(
                 partition,
                 unused -> new PartitionMachine(
-                        BookingRules.DEFAULT, context.settings().vmName() + "-" + context.incarnation()));
+                        BookingLimits.DEFAULT, context.settings().vmName() + "-" + context.incarnation()));
         for (Effect effect : event.apply(machine)) {
             runEffect(partition, effect);
         }
@@ -164,9 +164,11 @@
             });
         } else if (effect instanceof Effect.Swap swap) {
             continueWith(partition, store.swap(partition, swap), (machine, revision, failure) -> {
-                return failure == null ? machine.swapWon(now(), revision) : swapFailed(machine, partition, failure);
+                return failure == null
+                        ? machine.swapSucceeded(now(), revision)
+                        : swapFailed(machine, partition, failure);
             });
-        } else if (effect instanceof Effect.CommitSoon commit) {
+        } else if (effect instanceof Effect.ScheduleCommit commit) {
             context.timers()
                     .after(commit.delayMillis(), () -> applyEvent(partition, machine -> machine.commitDue(now())));
         } else if (effect instanceof Effect.Reply reply) {
@@ -179,20 +181,20 @@
                             .build());
         } else if (effect instanceof Effect.QueryClaimant query) {
             queryClaimant(partition, query);
-        } else if (effect instanceof Effect.CallStatus call) {
+        } else if (effect instanceof Effect.QueryServiceStatus call) {
             continueWith(partition, queryStatus(call.key()), (machine, response, failure) -> {
-                Optional<Answer> known = failure == null ? response : Optional.empty();
-                return machine.statusAnswered(now(), call.key(), call.attempt(), known);
+                Optional<ServiceResponse> known = failure == null ? response : Optional.empty();
+                return machine.statusReceived(now(), call.key(), call.attempt(), known);
             });
-        } else if (effect instanceof Effect.StoreAnswer write) {
+        } else if (effect instanceof Effect.StoreResponse write) {
             continueWith(
                     partition,
-                    store.storeResponse(write.key(), write.attempt(), write.answer()),
+                    store.storeResponse(write.key(), write.attempt(), write.response()),
                     (machine, done, failure) ->
-                            machine.answerStored(now(), write.key(), write.attempt(), failure == null));
-        } else if (effect instanceof Effect.LoadAnswer read) {
+                            machine.responseStored(now(), write.key(), write.attempt(), failure == null));
+        } else if (effect instanceof Effect.LoadResponse read) {
             continueWith(partition, store.loadResponse(read.key(), read.attempt()), (machine, response, failure) -> {
-                return machine.answerLoaded(now(), read.attempt(), failure == null ? response : Optional.empty());
+                return machine.responseLoaded(now(), read.attempt(), failure == null ? response : Optional.empty());
             });
         } else if (effect instanceof Effect.DeleteSealed delete) {
             delete.names().forEach(name -> store.deleteSealed(partition, name));
@@ -226,9 +228,9 @@
                 .with("cause", failure.type())
                 .info();
         return switch (failure.type()) {
-            case SWAP_LOST -> machine.swapLost(now());
-            case PLATFORM_UNAVAILABLE -> machine.swapRefused(now());
-            default -> machine.swapUnknown(now());
+            case SWAP_LOST -> machine.swapConflicted(now());
+            case PLATFORM_UNAVAILABLE -> machine.swapFailedByOutage(now());
+            default -> machine.swapOutcomeUnknown(now());
         };
     }
 
@@ -269,7 +271,7 @@
     }
 
     private void claimantReported(
-            int partition, Effect.QueryClaimant query, ClaimantState state, Optional<Answer> response) {
+            int partition, Effect.QueryClaimant query, ClaimantState state, Optional<ServiceResponse> response) {
         LOG.event("booking_claimant_queried")
                 .with("partition", Integer.toString(partition))
                 .with("claimant", query.attempt().vmName())
@@ -277,7 +279,7 @@
                 .with("state", state)
                 .info();
         applyEvent(
-                partition, machine -> machine.claimantAnswered(now(), query.key(), query.attempt(), state, response));
+                partition, machine -> machine.claimantReported(now(), query.key(), query.attempt(), state, response));
     }
 
     // The membership forgets a router only when it has been dead for a long time.
@@ -286,7 +288,7 @@
         return member.isEmpty() || member.get().state() == MemberState.DEAD;
     }
 
-    private CompletableFuture<Optional<Answer>> queryStatus(BookingKey key) {
+    private CompletableFuture<Optional<ServiceResponse>> queryStatus(BookingKey key) {
         Optional<Service> service = service(key.service());
         if (service.isEmpty() || service.get().statusPath().isEmpty()) {
             return CompletableFuture.completedFuture(Optional.empty());
@@ -298,7 +300,7 @@
         ClaimResponse.Builder response = ClaimResponse.newBuilder()
                 .setVerdict(ClaimResponse.Verdict.valueOf(reply.verdict().name()));
         reply.claimant().ifPresent(attempt -> response.setClaimant(BookingCodec.toWire(attempt)));
-        reply.answer().ifPresent(earlier -> response.setAnswer(BookingCodec.toWire(earlier)));
+        reply.response().ifPresent(earlier -> response.setAnswer(BookingCodec.toWire(earlier)));
         context.metrics().counter("bookings.verdict." + reply.verdict()).inc();
         completeResponse(
                 reply.ticket(),
@@ -323,8 +325,9 @@
                 .findFirst();
     }
 
-    private Now now() {
-        return new Now(context.timers().monotonicMillis(), context.timers().epochMillis());
+    private EventTime now() {
+        return new EventTime(
+                context.timers().monotonicMillis(), context.timers().epochMillis());
     }
 
     /** Applies the result of an effect to the state machine; value is null after a failure, failure after a success. */
--- a/agatelane-node/src/main/java/io/agatelane/node/io/service/InstanceCalls.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/io/service/InstanceCalls.java
@@ -1,6 +1,6 @@
 package io.agatelane.node.io.service;
 
-import io.agatelane.core.booking.Answer;
+import io.agatelane.core.booking.ServiceResponse;
 import java.util.Optional;
 import java.util.Set;
 import java.util.concurrent.CompletableFuture;
@@ -16,6 +16,6 @@
     /** An open connection that carries exactly one call. */
     interface CallConnection {
         /** Sends the call; when this fails, the call may have run. */
-        CompletableFuture<Answer> send(ServiceRequest call, long timeoutMillis);
+        CompletableFuture<ServiceResponse> send(ServiceRequest call, long timeoutMillis);
     }
 }
--- a/agatelane-node/src/main/java/io/agatelane/node/io/service/InstancePool.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/io/service/InstancePool.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
-import io.agatelane.core.booking.Answer;
+import io.agatelane.core.booking.ServiceResponse;
 import io.agatelane.core.model.ConfigSnapshot;
 import io.agatelane.core.model.Upstream;
 import io.agatelane.node.api.ConfigView;
@@ -100,7 +100,8 @@
 
     private void pollReport(ServiceInstance instance) {
         int outstandingCalls = instance.outstandingCalls.get();
-        CompletableFuture<Answer> load = client.get(instance.baseUrl, "/load", Map.of(), REPORT_TIMEOUT_MILLIS);
+        CompletableFuture<ServiceResponse> load =
+                client.get(instance.baseUrl, "/load", Map.of(), REPORT_TIMEOUT_MILLIS);
         Completion.then(load, (response, failure) -> {
             boolean wasDead = instance.isDead();
             if (failure != null) {
@@ -118,7 +119,7 @@
     }
 
     // An instance that responds without a readable report still counts as alive.
-    private static void recordReport(ServiceInstance instance, Answer response, int outstandingCalls) {
+    private static void recordReport(ServiceInstance instance, ServiceResponse response, int outstandingCalls) {
         JsonNode report = MAPPER.missingNode();
         if (response.status() == OK) {
             try {
--- a/agatelane-node/src/main/java/io/agatelane/node/io/service/PartitionOwners.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/io/service/PartitionOwners.java
@@ -18,7 +18,8 @@
     String nameByRank(int partition, int rank) {
         if (rank == 0) {
             List<Member> live = membership.liveMembers();
-            int ownerIndex = Rendezvous.first(keyHash(partition), live, member -> Rendezvous.hash(member.name()));
+            int ownerIndex =
+                    Rendezvous.indexOfHighest(keyHash(partition), live, member -> Rendezvous.hash(member.name()));
             return ownerIndex < 0
                     ? membership.self().name()
                     : live.get(ownerIndex).name();
--- a/agatelane-node/src/main/java/io/agatelane/node/io/service/PartitionStore.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/io/service/PartitionStore.java
@@ -1,6 +1,5 @@
 package io.agatelane.node.io.service;
 
-import io.agatelane.core.booking.Answer;
 import io.agatelane.core.booking.AttemptId;
 import io.agatelane.core.booking.Booking;
 import io.agatelane.core.booking.BookingKey;
@@ -8,6 +7,7 @@
 import io.agatelane.core.booking.LoadedPartition;
 import io.agatelane.core.booking.SealedRef;
 import io.agatelane.core.booking.Segment;
+import io.agatelane.core.booking.ServiceResponse;
 import io.agatelane.core.booking.command.Effect;
 import io.agatelane.core.failure.AgatelaneException;
 import io.agatelane.core.failure.FailureType;
@@ -65,13 +65,13 @@
                 done -> store.compareAndSet(BookingCodec.openKey(partition), swap.expectedRevision(), open));
     }
 
-    CompletableFuture<Void> storeResponse(BookingKey key, AttemptId attempt, Answer response) {
+    CompletableFuture<Void> storeResponse(BookingKey key, AttemptId attempt, ServiceResponse response) {
         return createIfAbsent(
                 BookingCodec.responseKey(key, attempt),
                 BookingCodec.toWire(response).toByteArray());
     }
 
-    CompletableFuture<Optional<Answer>> loadResponse(BookingKey key, AttemptId attempt) {
+    CompletableFuture<Optional<ServiceResponse>> loadResponse(BookingKey key, AttemptId attempt) {
         String name = BookingCodec.responseKey(key, attempt);
         return store.get(name).thenApply(found -> found.map(value -> BookingCodec.decodeResponse(name, value.value())));
     }
@@ -95,7 +95,7 @@
     private CompletableFuture<Void> deleteWithResponses(String key, KeyValue sealedValue) {
         List<String> responseKeys = new ArrayList<>();
         for (Booking booking : BookingCodec.decode(key, sealedValue.value()).entries()) {
-            if (booking.state() == BookingState.FINISHED && booking.answer().isEmpty()) {
+            if (booking.state() == BookingState.FINISHED && booking.response().isEmpty()) {
                 responseKeys.add(BookingCodec.responseKey(booking.key(), booking.attempt()));
             }
         }
--- a/agatelane-node/src/main/java/io/agatelane/node/io/service/RepeatableCalls.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/io/service/RepeatableCalls.java
@@ -1,6 +1,6 @@
 package io.agatelane.node.io.service;
 
-import io.agatelane.core.booking.Answer;
+import io.agatelane.core.booking.ServiceResponse;
 import io.agatelane.core.failure.AgatelaneException;
 import io.agatelane.core.failure.Executed;
 import io.agatelane.core.failure.FailureType;
@@ -32,7 +32,7 @@
         this.client = client;
     }
 
-    CompletableFuture<Answer> run(ServiceRequest call) {
+    CompletableFuture<ServiceResponse> run(ServiceRequest call) {
         budget(call).recordCall();
         long deadlineMillis =
                 context.timers().monotonicMillis() + call.service().timeoutMillis();
@@ -104,7 +104,7 @@
         }
     }
 
-    private static boolean isUnavailable(Answer response) {
+    private static boolean isUnavailable(ServiceResponse response) {
         return response.status() >= BAD_GATEWAY && response.status() <= GATEWAY_TIMEOUT;
     }
 
@@ -112,7 +112,7 @@
     private static final class Progress {
         private final long deadlineMillis;
         private final Set<String> tried = new HashSet<>();
-        private final CompletableFuture<Answer> result = new CompletableFuture<>();
+        private final CompletableFuture<ServiceResponse> result = new CompletableFuture<>();
         private volatile boolean maybeRan;
 
         private Progress(long deadlineMillis) {
--- a/agatelane-node/src/main/java/io/agatelane/node/io/service/ServiceClient.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/io/service/ServiceClient.java
@@ -1,6 +1,6 @@
 package io.agatelane.node.io.service;
 
-import io.agatelane.core.booking.Answer;
+import io.agatelane.core.booking.ServiceResponse;
 import io.agatelane.core.failure.AgatelaneException;
 import io.agatelane.core.failure.Executed;
 import io.agatelane.core.failure.FailureType;
@@ -81,12 +81,13 @@
     }
 
     /** Sends a GET request on a pooled connection. */
-    CompletableFuture<Answer> get(String baseUrl, String target, Map<String, String> headers, long timeoutMillis) {
+    CompletableFuture<ServiceResponse> get(
+            String baseUrl, String target, Map<String, String> headers, long timeoutMillis) {
         return send(request("GET", baseUrl, target, headers, new byte[0], timeoutMillis), null, timeoutMillis);
     }
 
     /** Sends a repeatable call on a pooled connection. */
-    CompletableFuture<Answer> call(String baseUrl, ServiceRequest call, long timeoutMillis) {
+    CompletableFuture<ServiceResponse> call(String baseUrl, ServiceRequest call, long timeoutMillis) {
         Request request = request(
                 call.operation().method(),
                 baseUrl,
@@ -111,7 +112,8 @@
     }
 
     /** Sends a call on a connection from {@link #connect} and closes the connection. */
-    CompletableFuture<Answer> callOnce(Connection connection, String baseUrl, ServiceRequest call, long timeoutMillis) {
+    CompletableFuture<ServiceResponse> callOnce(
+            Connection connection, String baseUrl, ServiceRequest call, long timeoutMillis) {
         Request request = request(
                 call.operation().method(),
                 baseUrl,
@@ -147,8 +149,8 @@
         return URI.create(base + (target.startsWith("/") ? target : "/" + target));
     }
 
-    private CompletableFuture<Answer> send(Request request, Connection connection, long timeoutMillis) {
-        CompletableFuture<Answer> result = new CompletableFuture<>();
+    private CompletableFuture<ServiceResponse> send(Request request, Connection connection, long timeoutMillis) {
+        CompletableFuture<ServiceResponse> result = new CompletableFuture<>();
         Subscription timer = context.timers().after(timeoutMillis, () -> abort(request));
         Response.CompleteListener listener = new BufferingResponseListener(MAX_RESPONSE_BYTES) {
             @Override
@@ -178,9 +180,9 @@
         CompletableFuture<Boolean> unused = request.abort(new TimeoutException("no response in time"));
     }
 
-    private static Answer toResponse(Response response, byte[] content) {
+    private static ServiceResponse toResponse(Response response, byte[] content) {
         String contentType = response.getHeaders().get(HttpHeader.CONTENT_TYPE);
-        return new Answer(
+        return new ServiceResponse(
                 response.getStatus(), contentType == null ? "" : contentType, content == null ? new byte[0] : content);
     }
 
--- a/agatelane-node/src/main/java/io/agatelane/node/io/service/ServiceHandler.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/io/service/ServiceHandler.java
@@ -1,6 +1,6 @@
 package io.agatelane.node.io.service;
 
-import io.agatelane.core.booking.Answer;
+import io.agatelane.core.booking.ServiceResponse;
 import io.agatelane.core.failure.AgatelaneException;
 import io.agatelane.core.failure.FailureType;
 import io.agatelane.core.model.ClientAccount;
@@ -102,7 +102,7 @@
         runningRequests.incrementAndGet();
         Callback counted = Callback.from(callback, this::requestEnded);
         String requestId = requestId(request);
-        CompletableFuture<Answer> serviceResponse;
+        CompletableFuture<ServiceResponse> serviceResponse;
         try {
             serviceResponse = accept(request, path.substring(PREFIX.length()), requestId);
         } catch (RuntimeException e) {
@@ -124,7 +124,7 @@
         }
     }
 
-    private CompletableFuture<Answer> accept(Request request, String path, String requestId) {
+    private CompletableFuture<ServiceResponse> accept(Request request, String path, String requestId) {
         if (refusing) {
             throw new AgatelaneException(FailureType.SHUTTING_DOWN, "this router is shutting down")
                     .withRetryAfterMillis(RETRY_AFTER_MILLIS);
@@ -191,7 +191,7 @@
         return service.operation(method, path).or(() -> service.operation(method, path.substring(1)));
     }
 
-    private CompletableFuture<Answer> dispatch(ServiceRequest call) {
+    private CompletableFuture<ServiceResponse> dispatch(ServiceRequest call) {
         if (call.operation().repeatable()) {
             context.metrics().counter("services.calls.repeatable").inc();
             return repeatable.run(call);
@@ -238,7 +238,7 @@
                 requestCounter.incrementAndGet());
     }
 
-    private static void write(Response response, Callback callback, Answer serviceResponse, String requestId) {
+    private static void write(Response response, Callback callback, ServiceResponse serviceResponse, String requestId) {
         response.setStatus(serviceResponse.status());
         if (!serviceResponse.contentType().isEmpty()) {
             response.getHeaders().put(HttpHeader.CONTENT_TYPE, serviceResponse.contentType());
--- a/agatelane-node/src/main/java/io/agatelane/node/io/service/ServiceTraffic.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/io/service/ServiceTraffic.java
@@ -1,6 +1,6 @@
 package io.agatelane.node.io.service;
 
-import io.agatelane.core.booking.Answer;
+import io.agatelane.core.booking.ServiceResponse;
 import io.agatelane.core.model.Service;
 import io.agatelane.node.api.ConfigView;
 import io.agatelane.node.api.Drainable;
@@ -65,7 +65,7 @@
     }
 
     @Override
-    public void refuseNew() {
+    public void refuseNewRequests() {
         handler.refuseNew();
     }
 
@@ -97,7 +97,7 @@
 
     // Queries whether the call with this key ran. Only a successful response proves it, since a call that the service
     // does not know may still arrive.
-    private CompletableFuture<Optional<Answer>> queryStatus(Service service, String idempotencyKey) {
+    private CompletableFuture<Optional<ServiceResponse>> queryStatus(Service service, String idempotencyKey) {
         Optional<ServiceInstance> instance = pool.choose(service.name(), Set.of());
         if (instance.isEmpty()) {
             return CompletableFuture.completedFuture(Optional.empty());
@@ -109,6 +109,7 @@
                                 .replace("+", "%20"));
         Map<String, String> headers = Map.of("Idempotency-Key", idempotencyKey);
         return client.get(instance.get().baseUrl, target, headers, STATUS_TIMEOUT_MILLIS)
-                .thenApply(response -> response.status() / 100 == 2 ? Optional.of(response) : Optional.<Answer>empty());
+                .thenApply(response ->
+                        response.status() / 100 == 2 ? Optional.of(response) : Optional.<ServiceResponse>empty());
     }
 }
--- a/agatelane-node/src/main/java/io/agatelane/node/util/Futures.java
+++ b/agatelane-node/src/main/java/io/agatelane/node/util/Futures.java
@@ -47,7 +47,7 @@
     }
 
     /** Starts an asynchronous call on an executor. A failure of the call fails the result. */
-    public static <R> CompletableFuture<R> on(Executor executor, Supplier<CompletableFuture<R>> call) {
+    public static <R> CompletableFuture<R> callOn(Executor executor, Supplier<CompletableFuture<R>> call) {
         CompletableFuture<R> result = new CompletableFuture<>();
         try {
             executor.execute(() -> forward(call(call), result));
--- a/agatelane-node/src/test/java/io/agatelane/node/config/ConfigChangesTest.java
+++ b/agatelane-node/src/test/java/io/agatelane/node/config/ConfigChangesTest.java
@@ -62,14 +62,14 @@
         List<Long> revisions = new ArrayList<>();
         for (int i = 0; i < 40; i++) {
             ApplyRequest request = ConfigCluster.policy("p" + random.nextInt(8), i + 1, -1, "id-" + i);
-            cluster.platform.loseReplies(random.nextInt(4));
+            cluster.platform.loseResponses(random.nextInt(4));
             requests.add(request);
             revisions.add(
                     cluster.await(cluster.node(1 + random.nextInt(3)).router.apply(request))
                             .getRevision());
             assertEquals(revisions.get(i).longValue(), i + 1);
         }
-        cluster.platform.loseReplies(0);
+        cluster.platform.loseResponses(0);
         for (int i = 0; i < requests.size(); i++) {
             long repeated = cluster.await(
                             cluster.node(1 + random.nextInt(3)).router.apply(requests.get(i)))
@@ -88,7 +88,7 @@
         // Platform calls take 4 ms each: the read of the head, the write of the shard, and half of the write of the
         // head.
         cluster.control.advance(9);
-        cluster.platform.loseReplies(1);
+        cluster.platform.loseResponses(1);
         cluster.control.advance(2);
         cluster.platform.setOutage(true);
         AgatelaneException failure = cluster.failure(call);
@@ -208,7 +208,7 @@
             String id = random.nextInt(10) == 0 && i > 0 ? name + "-" + random.nextInt(i) : name + "-" + i;
             long[] expected = {-1, 0, reference.version(name), reference.version(name) - 1};
             long version = Math.max(-1, expected[random.nextInt(expected.length)]);
-            cluster.platform.loseReplies(random.nextInt(10) == 0 ? 1 : 0);
+            cluster.platform.loseResponses(random.nextInt(10) == 0 ? 1 : 0);
             String expectedOutcome;
             String actual;
             if (random.nextInt(4) == 0) {
--- a/agatelane-node/src/test/java/io/agatelane/node/config/ConfigCluster.java
+++ b/agatelane-node/src/test/java/io/agatelane/node/config/ConfigCluster.java
@@ -9,8 +9,8 @@
 import io.agatelane.node.fakes.FakeControl;
 import io.agatelane.node.fakes.FakeKeyValueStore;
 import io.agatelane.node.fakes.FakeMembership;
-import io.agatelane.node.fakes.FakeNode;
 import io.agatelane.node.fakes.FakePeerNetwork;
+import io.agatelane.node.fakes.NodeContexts;
 import io.agatelane.wire.operator.ApplyRequest;
 import io.agatelane.wire.operator.ApplyResponse;
 import io.agatelane.wire.operator.ConfigObject;
@@ -80,7 +80,7 @@
         stop(name);
         FakeMembership membership = new FakeMembership(name);
         nodes.values().forEach(other -> membership.put(other.member(0)));
-        NodeContext context = FakeNode.context(name, ++incarnation, control);
+        NodeContext context = NodeContexts.context(name, ++incarnation, control);
         Router router = naive
                 ? new NaiveConfigService(context, store)
                 : new RealRouter(new ConfigService(context, store, membership, network.attach(name)));
--- a/agatelane-node/src/test/java/io/agatelane/node/config/ConfigSynchronizerTest.java
+++ b/agatelane-node/src/test/java/io/agatelane/node/config/ConfigSynchronizerTest.java
@@ -5,7 +5,7 @@
 import static org.testng.Assert.assertTrue;
 
 import io.agatelane.core.config.ShardLayout;
-import io.agatelane.core.config.query.WatcherChoice;
+import io.agatelane.core.config.query.RouterRanking;
 import io.agatelane.node.api.KeyValue;
 import io.agatelane.node.api.MemberState;
 import io.agatelane.wire.operator.ApplyRequest;
@@ -65,7 +65,7 @@
                         peerReadsPerRouter,
                         slowestMillis),
                 true);
-        assertEquals(cluster.store.openWatches, WatcherChoice.WATCHERS_PER_REGION);
+        assertEquals(cluster.store.openWatches, RouterRanking.WATCHERS_PER_REGION);
         // One read of the head by the writer and one of the changed shard by each watcher.
         assertTrue(readsPerChange <= 3, "reads per change: " + readsPerChange);
         assertTrue(writesPerChange <= 2, "writes per change: " + writesPerChange);
@@ -122,7 +122,7 @@
     @Test
     public void secondPeerIsQueriedWhenTheFirstIsLate() {
         ConfigCluster cluster = ConfigCluster.of(6);
-        List<String> watchers = WatcherChoice.watchers("region-1", cluster.nodes.keySet());
+        List<String> watchers = RouterRanking.watchers("region-1", cluster.nodes.keySet());
         ConfigCluster.Node reader = cluster.nodes.values().stream()
                 .filter(node -> !watchers.contains(node.name))
                 .findFirst()
@@ -188,7 +188,7 @@
     @Test
     public void remainingRoutersTakeOverTheWatch() {
         ConfigCluster cluster = ConfigCluster.of(5);
-        List<String> watchers = WatcherChoice.watchers("region-1", cluster.nodes.keySet());
+        List<String> watchers = RouterRanking.watchers("region-1", cluster.nodes.keySet());
         watchers.forEach(cluster::stop);
         cluster.nodes
                 .values()
@@ -198,7 +198,7 @@
         cluster.withoutGossip.addAll(remaining);
         cluster.await(cluster.nodes.get(remaining.get(0)).router.apply(ConfigCluster.policy("p", 1, 0, "id")));
         cluster.control.advance(100);
-        List<String> newWatchers = WatcherChoice.watchers("region-1", remaining);
+        List<String> newWatchers = RouterRanking.watchers("region-1", remaining);
         newWatchers.forEach(name -> assertEquals(cluster.nodes.get(name).deadlineOf("p"), 1, name));
         cluster.withoutGossip.clear();
         cluster.settle();
--- a/agatelane-node/src/test/java/io/agatelane/node/fakes/FakeKeyValueStore.java
+++ b/agatelane-node/src/test/java/io/agatelane/node/fakes/FakeKeyValueStore.java
@@ -47,7 +47,7 @@
     }
 
     /** The next writes take effect but fail with WRITE_OUTCOME_UNKNOWN. */
-    public void loseReplies(int count) {
+    public void loseResponses(int count) {
         this.responsesToLose = count;
     }
 
--- a/agatelane-node/src/test/java/io/agatelane/node/fakes/FakeNode.java
+++ b/agatelane-node/src/test/java/io/agatelane/node/fakes/NodeContexts.java
@@ -7,11 +7,11 @@
 import java.util.List;
 
 /** Creates settings and node contexts for tests. */
-public final class FakeNode {
+public final class NodeContexts {
     private static final int MAX_BODY_BYTES = 1 << 20;
     private static final int MAX_ANSWER_BYTES = 900_000;
 
-    private FakeNode() {}
+    private NodeContexts() {}
 
     /** Settings on loopback with free ports. */
     public static Settings settings(String vmName) {
--- a/agatelane-node/src/test/java/io/agatelane/node/fleet/FakeFleet.java
+++ b/agatelane-node/src/test/java/io/agatelane/node/fleet/FakeFleet.java
@@ -6,10 +6,10 @@
 import io.agatelane.core.fleet.FleetView;
 import io.agatelane.node.api.EngineControl;
 import io.agatelane.node.api.EngineStatus;
-import io.agatelane.node.api.FleetRead;
+import io.agatelane.node.api.FleetReadResult;
 import io.agatelane.node.api.FleetSource;
-import io.agatelane.node.api.OrderAnswer;
-import io.agatelane.node.api.StoreContent;
+import io.agatelane.node.api.OrderResponse;
+import io.agatelane.node.api.StoreContentId;
 import io.agatelane.node.api.WeightsOrder;
 import io.agatelane.node.fakes.FakeControl;
 import io.agatelane.node.fakes.FakeKeyValueStore;
@@ -97,7 +97,7 @@
     }
 
     @Override
-    public CompletableFuture<FleetRead> read() {
+    public CompletableFuture<FleetReadResult> read() {
         if (storeDown) {
             return CompletableFuture.failedFuture(
                     new AgatelaneException(FailureType.PLATFORM_UNAVAILABLE, "the store is down"));
@@ -109,13 +109,13 @@
             }
         });
         FleetView view = new FleetView(Optional.empty(), upstreams, Map.of(MODEL, requestedVersion), Set.of());
-        return store.list("").thenApply(items -> new FleetRead(view, content(upstreams), items));
+        return store.list("").thenApply(items -> new FleetReadResult(view, content(upstreams), items));
     }
 
-    private StoreContent content(List<FleetUpstream> upstreams) {
-        return new StoreContent(
-                new StoreContent.Part(requestedVersion, requestedVersion),
-                new StoreContent.Part(1, upstreams.hashCode()));
+    private StoreContentId content(List<FleetUpstream> upstreams) {
+        return new StoreContentId(
+                new StoreContentId.EntrySetId(requestedVersion, requestedVersion),
+                new StoreContentId.EntrySetId(1, upstreams.hashCode()));
     }
 
     private static FleetUpstream upstream(String id, Engine engine) {
@@ -143,7 +143,7 @@
     }
 
     @Override
-    public CompletableFuture<OrderAnswer> load(FleetUpstream upstream, WeightsOrder order) {
+    public CompletableFuture<OrderResponse> loadWeights(FleetUpstream upstream, WeightsOrder order) {
         Engine engine = engines.get(upstream.id());
         if (lostResponseDelayMillis >= 0) {
             control.after(lostResponseDelayMillis, () -> carryOut(engine, order));
@@ -153,13 +153,13 @@
         return CompletableFuture.completedFuture(carryOut(engine, order));
     }
 
-    private OrderAnswer carryOut(Engine engine, WeightsOrder order) {
+    private OrderResponse carryOut(Engine engine, WeightsOrder order) {
         if (order.fencingToken() < engine.highestToken) {
-            return OrderAnswer.FENCED;
+            return OrderResponse.FENCED;
         }
         engine.highestToken = order.fencingToken();
         if (engine.busy || engine.orders != order.expectedOrders()) {
-            return OrderAnswer.CONFLICT;
+            return OrderResponse.CONFLICT;
         }
         accepted.add(order);
         engine.orders++;
@@ -173,6 +173,6 @@
                 engine.version = order.version();
             }
         });
-        return OrderAnswer.STARTED;
+        return OrderResponse.STARTED;
     }
 }
--- a/agatelane-node/src/test/java/io/agatelane/node/fleet/LoadGossipTest.java
+++ b/agatelane-node/src/test/java/io/agatelane/node/fleet/LoadGossipTest.java
@@ -22,7 +22,7 @@
     @Test(dataProvider = "sizes")
     public void everyRouterReceivesAllLoads(int size) {
         GossipCluster cluster = new GossipCluster(size);
-        cluster.routers.forEach(router -> router.state.load(router.upstream()).sent(router, 0, 10, 0));
+        cluster.routers.forEach(router -> router.state.load(router.upstream()).recordSent(router, 0, 10, 0));
         cluster.control.advance(PROPAGATION_MILLIS);
         cluster.routers.forEach(router -> assertEquals(router.estimatedRequests(), size, 0.01, router.entry.vm()));
     }
@@ -44,11 +44,11 @@
     @Test
     public void placementsReachAllOnce() {
         GossipCluster cluster = new GossipCluster(40);
-        cluster.routers.get(3).state.placements().placed(new Placement(7, 1, 1_000));
+        cluster.routers.get(3).state.placements().recordLocal(new Placement(7, 1, 1_000));
         cluster.control.advance(PROPAGATION_MILLIS);
         for (GossipCluster.Router router : cluster.routers) {
             assertTrue(router.state.placements().holds(7, 1, 1), router.entry.vm());
-            router.state.placements().placed(new Placement(8, 1, 1_000));
+            router.state.placements().recordLocal(new Placement(8, 1, 1_000));
             assertTrue(router.state.placements().holds(7, 1, 1_001), router.entry.vm());
         }
     }
@@ -62,7 +62,7 @@
         killed.routerControl.kill();
         List<GossipCluster.Router> alive =
                 cluster.routers.stream().filter(router -> router != killed).toList();
-        alive.forEach(router -> router.state.load(router.upstream()).sent(router, 0, 10, 0));
+        alive.forEach(router -> router.state.load(router.upstream()).recordSent(router, 0, 10, 0));
         cluster.control.advance(1_000 + 2 * PROPAGATION_MILLIS);
         alive.forEach(router -> assertEquals(router.estimatedRequests(), alive.size(), 0.01, router.entry.vm()));
     }
@@ -102,7 +102,7 @@
         cluster.fleet.requestVersion(2);
         cluster.control.advance(1_500);
         cluster.routers.forEach(router -> assertEquals(
-                router.state.snapshot().view().newestWeights().get(FakeFleet.MODEL),
+                router.state.snapshot().view().newestWeightsVersions().get(FakeFleet.MODEL),
                 Long.valueOf(2),
                 router.entry.vm()));
         cluster.fleet.setListed("e1", false);
--- a/agatelane-node/src/test/java/io/agatelane/node/fleet/WeightsRolloutTest.java
+++ b/agatelane-node/src/test/java/io/agatelane/node/fleet/WeightsRolloutTest.java
@@ -129,7 +129,7 @@
     // Guards against a lost response to a write of the leadership that leaves the roll-out without a holder.
     @Test
     public void lostStoreResponsesOnlyDelay() {
-        store.loseReplies(6);
+        store.loseResponses(6);
         fleet.requestVersion(2);
         control.advance(2 * ALLOWED_MILLIS);
         assertEquals(fleet.oldestVersion(), 2);
--- a/agatelane-node/src/test/java/io/agatelane/node/io/engine/EngineTestRouter.java
+++ b/agatelane-node/src/test/java/io/agatelane/node/io/engine/EngineTestRouter.java
@@ -6,7 +6,7 @@
 import io.agatelane.node.api.NodeContext;
 import io.agatelane.node.control.ControlThread;
 import io.agatelane.node.fakes.FakeConfigView;
-import io.agatelane.node.fakes.FakeNode;
+import io.agatelane.node.fakes.NodeContexts;
 import io.agatelane.node.io.http.Authenticator;
 import io.agatelane.node.io.http.HttpFrontend;
 import java.io.BufferedReader;
@@ -36,11 +36,11 @@
     private final HttpClient client =
             HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
 
-    EngineTestRouter(String name, FakeConfigView config, FakeDigestExchange digests) {
+    EngineTestRouter(String name, FakeConfigView config, FakeGossipHintExchange hintExchange) {
         control = new ControlThread(name);
-        NodeContext context = new NodeContext(FakeNode.settings(name), 1, control, control, metrics);
-        traffic = new EngineTraffic(context, config, digests.attach(), new Authenticator(config));
-        frontend = new HttpFrontend(FakeNode.settings(name).httpAddress(), List.of(traffic.handler()));
+        NodeContext context = new NodeContext(NodeContexts.settings(name), 1, control, control, metrics);
+        traffic = new EngineTraffic(context, config, hintExchange.attach(), new Authenticator(config));
+        frontend = new HttpFrontend(NodeContexts.settings(name).httpAddress(), List.of(traffic.handler()));
         frontend.start();
         traffic.start();
     }
--- a/agatelane-node/src/test/java/io/agatelane/node/io/engine/EngineTrafficTest.java
+++ b/agatelane-node/src/test/java/io/agatelane/node/io/engine/EngineTrafficTest.java
@@ -37,7 +37,7 @@
                 .add(one.upstream("m"))
                 .add(two.upstream("m"))
                 .build());
-        router = new EngineTestRouter("r1", config, new FakeDigestExchange());
+        router = new EngineTestRouter("r1", config, new FakeGossipHintExchange());
         router.awaitReady(2);
     }
 
@@ -164,7 +164,7 @@
         two.holdAt = 2;
         BufferedReader reader = EngineTestRouter.reader(router.openStream(EngineTestRouter.body(true, "hello")));
         EngineTestRouter.readEvent(reader);
-        router.traffic.refuseNew();
+        router.traffic.refuseNewRequests();
         HttpResponse<String> refused = router.post(EngineTestRouter.body(true, "other"));
         assertProblem(refused, 503, "shutting-down");
         assertTrue(refused.headers().firstValue("Retry-After").isPresent());
--- a/agatelane-node/src/test/java/io/agatelane/node/io/engine/FakeDigestExchange.java
+++ b/agatelane-node/src/test/java/io/agatelane/node/io/engine/FakeGossipHintExchange.java
@@ -1,6 +1,6 @@
 package io.agatelane.node.io.engine;
 
-import io.agatelane.node.api.DigestExchange;
+import io.agatelane.node.api.GossipHintExchange;
 import io.agatelane.wire.peer.AccountUsage;
 import io.agatelane.wire.peer.Quarantine;
 import io.agatelane.wire.peer.UpstreamDigest;
@@ -8,17 +8,17 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.function.Consumer;
 
-/** Delivers the digests of every router of a test to all the others at once. */
-final class FakeDigestExchange {
+/** Delivers the hints of every router of a test to all the others at once. */
+final class FakeGossipHintExchange {
     private final List<Endpoint> endpoints = new CopyOnWriteArrayList<>();
 
-    DigestExchange attach() {
+    GossipHintExchange attach() {
         Endpoint endpoint = new Endpoint();
         endpoints.add(endpoint);
         return endpoint;
     }
 
-    private final class Endpoint implements DigestExchange {
+    private final class Endpoint implements GossipHintExchange {
         private final List<Consumer<UpstreamDigest>> upstreamListeners = new CopyOnWriteArrayList<>();
         private final List<Consumer<Quarantine>> quarantineListeners = new CopyOnWriteArrayList<>();
         private final List<Consumer<AccountUsage>> usageListeners = new CopyOnWriteArrayList<>();
--- a/agatelane-node/src/test/java/io/agatelane/node/io/engine/StreamFailureTest.java
+++ b/agatelane-node/src/test/java/io/agatelane/node/io/engine/StreamFailureTest.java
@@ -34,9 +34,9 @@
             engines.add(new FakeEngine("e" + i));
         }
         configure(false);
-        FakeDigestExchange digests = new FakeDigestExchange();
-        router = new EngineTestRouter("r1", config, digests);
-        otherRouter = new EngineTestRouter("r2", config, digests);
+        FakeGossipHintExchange hintExchange = new FakeGossipHintExchange();
+        router = new EngineTestRouter("r1", config, hintExchange);
+        otherRouter = new EngineTestRouter("r2", config, hintExchange);
         router.awaitReady(3);
         otherRouter.awaitReady(3);
     }
--- a/agatelane-node/src/test/java/io/agatelane/node/io/engine/TrafficPolicyTest.java
+++ b/agatelane-node/src/test/java/io/agatelane/node/io/engine/TrafficPolicyTest.java
@@ -10,7 +10,7 @@
 import io.agatelane.core.model.ClientAccount;
 import io.agatelane.core.model.ConfigSnapshot;
 import io.agatelane.core.model.Model;
-import io.agatelane.node.api.DigestExchange;
+import io.agatelane.node.api.GossipHintExchange;
 import io.agatelane.node.fakes.FakeConfigView;
 import io.agatelane.node.io.http.Authenticator;
 import io.agatelane.wire.operator.CandidateScore;
@@ -28,7 +28,7 @@
     private FakeConfigView config;
     private FakeEngine one;
     private FakeEngine two;
-    private FakeDigestExchange digests;
+    private FakeGossipHintExchange hintExchange;
     private EngineTestRouter router;
 
     @BeforeMethod
@@ -36,9 +36,9 @@
         config = new FakeConfigView();
         one = new FakeEngine("e1");
         two = new FakeEngine("e2");
-        digests = new FakeDigestExchange();
+        hintExchange = new FakeGossipHintExchange();
         configure(0, 0);
-        router = new EngineTestRouter("r1", config, digests);
+        router = new EngineTestRouter("r1", config, hintExchange);
         router.awaitReady(2);
     }
 
@@ -114,7 +114,7 @@
     // draining mark that remains after the engine is ready again.
     @Test
     public void appliesDrainingMarksOfPeers() throws Exception {
-        DigestExchange peer = digests.attach();
+        GossipHintExchange peer = hintExchange.attach();
         peer.publish(UpstreamDigest.newBuilder()
                 .setUpstream("e1")
                 .setIncarnation("1")
--- a/agatelane-node/src/test/java/io/agatelane/node/io/gossip/GossipMembershipTest.java
+++ b/agatelane-node/src/test/java/io/agatelane/node/io/gossip/GossipMembershipTest.java
@@ -14,7 +14,7 @@
 import io.agatelane.node.control.ControlThread;
 import io.agatelane.node.fakes.FakeControl;
 import io.agatelane.node.fakes.FakeKeyValueStore;
-import io.agatelane.node.fakes.FakeNode;
+import io.agatelane.node.fakes.NodeContexts;
 import io.agatelane.wire.peer.AccountUsage;
 import io.agatelane.wire.peer.Quarantine;
 import io.agatelane.wire.peer.UpstreamDigest;
@@ -74,7 +74,7 @@
         first.onUpstreamDigest(digest::complete);
         first.onQuarantine(quarantine::complete);
         first.onAccountUsage(usage::complete);
-        first.onRevision((name, number) -> revision.complete(number));
+        first.onConfigRevision((name, number) -> revision.complete(number));
         GossipMembership second = start("r2", List.of(first.port()), store);
         await(second, members -> members.size() == 2);
 
@@ -123,7 +123,7 @@
         assertEquals((long) store.compareAndSet("members/r8", 0, encode(dead)).join(), 1);
         assertEquals(
                 (long) store.compareAndSet("members/r9", 0, encode(restarted)).join(), 2);
-        GossipMembership membership = new GossipMembership(FakeNode.context("r1", 1_000, clock), store);
+        GossipMembership membership = new GossipMembership(NodeContexts.context("r1", 1_000, clock), store);
         opened.add(membership);
         membership.start();
         clock.advance(20_000);
@@ -142,7 +142,7 @@
         FakeControl clock = new FakeControl();
         FakeKeyValueStore store = new FakeKeyValueStore(clock);
         store.setOutage(true);
-        GossipMembership membership = new GossipMembership(FakeNode.context("r1", 1_000, clock), store);
+        GossipMembership membership = new GossipMembership(NodeContexts.context("r1", 1_000, clock), store);
         opened.add(membership);
         membership.start();
         clock.advance(40_000);
@@ -157,7 +157,7 @@
     }
 
     private GossipMembership start(String name, List<Integer> seedPorts, FakeKeyValueStore store) {
-        Settings base = FakeNode.settings(name);
+        Settings base = NodeContexts.settings(name);
         Settings settings = new Settings(
                 name,
                 base.availabilityZone(),
--- a/agatelane-node/src/test/java/io/agatelane/node/io/orders/NaiveOrderSender.java
+++ b/agatelane-node/src/test/java/io/agatelane/node/io/orders/NaiveOrderSender.java
@@ -2,7 +2,7 @@
 
 import io.agatelane.core.model.ConfigSnapshot;
 import io.agatelane.core.model.Upstream;
-import io.agatelane.core.orders.query.OrderPlan;
+import io.agatelane.core.orders.query.OrderAssignment;
 import io.agatelane.node.api.ConfigView;
 import io.agatelane.node.api.KeyValue;
 import io.agatelane.node.api.KeyValueStore;
@@ -26,7 +26,7 @@
 
     private void tick(ConfigSnapshot config) {
         for (Upstream upstream : config.upstreams()) {
-            OrderPlan.desiredState(upstream, config).ifPresent(desired -> {
+            OrderAssignment.desiredState(upstream, config).ifPresent(desired -> {
                 if (desired.weightsVersion().equals(orderedVersions.put(upstream.name(), desired.weightsVersion()))) {
                     return;
                 }
--- a/agatelane-node/src/test/java/io/agatelane/node/io/orders/OrderControllerTest.java
+++ b/agatelane-node/src/test/java/io/agatelane/node/io/orders/OrderControllerTest.java
@@ -15,8 +15,8 @@
 import io.agatelane.node.fakes.FakeControl;
 import io.agatelane.node.fakes.FakeKeyValueStore;
 import io.agatelane.node.fakes.FakeMembership;
-import io.agatelane.node.fakes.FakeNode;
 import io.agatelane.node.fakes.FakeRouterControl;
+import io.agatelane.node.fakes.NodeContexts;
 import java.util.ArrayList;
 import java.util.List;
 import org.testng.annotations.BeforeMethod;
@@ -195,10 +195,10 @@
     public void lostResponsesOnlyDelayOrders(boolean checksFencing) {
         Router a = new Router("a", "a");
         for (int round = 0; round < 8; round++) {
-            store.loseReplies(1 + round % 4);
+            store.loseResponses(1 + round % 4);
             a.config.set(config(2 + round, "w" + round, checksFencing, "e1", "e2", "e3"));
             clock.advance(round * 3L);
-            store.loseReplies(1);
+            store.loseResponses(1);
             clock.advance(6 * TAKEOVER_MILLIS);
             for (String name : List.of("e1", "e2", "e3")) {
                 assertEquals(engines.engine(name).weights, "w" + round);
@@ -286,7 +286,7 @@
         private Router(String name, String... members) {
             membership = new FakeMembership(name, members);
             NodeContext context =
-                    new NodeContext(FakeNode.settings(name), 1_000, control, control, new MetricRegistry());
+                    new NodeContext(NodeContexts.settings(name), 1_000, control, control, new MetricRegistry());
             new OrderController(context, config, membership, store, OrderTiming.DEFAULT, client).start();
             clock.runPending();
         }
--- a/agatelane-node/src/test/java/io/agatelane/node/io/peer/NettyPeerTransportTest.java
+++ b/agatelane-node/src/test/java/io/agatelane/node/io/peer/NettyPeerTransportTest.java
@@ -12,7 +12,7 @@
 import io.agatelane.node.control.ControlThread;
 import io.agatelane.node.fakes.FakeControl;
 import io.agatelane.node.fakes.FakeMembership;
-import io.agatelane.node.fakes.FakeNode;
+import io.agatelane.node.fakes.NodeContexts;
 import io.agatelane.wire.peer.AttemptAnswer;
 import io.agatelane.wire.peer.AttemptQuery;
 import io.agatelane.wire.peer.ConfigAnswer;
@@ -88,7 +88,7 @@
     @Test
     public void unresponsiveConnectionIsReplaced() throws Exception {
         FakeControl clock = new FakeControl();
-        NodeContext base = FakeNode.context("vm-3", 1, clock);
+        NodeContext base = NodeContexts.context("vm-3", 1, clock);
         NodeContext context = new NodeContext(base.settings(), 1, Runnable::run, clock, base.metrics());
         NettyPeerTransport caller = closeAfterTest(new NettyPeerTransport(context, membership));
         caller.start();
@@ -169,7 +169,7 @@
 
     private NettyPeerTransport transport(String vmName, long incarnation) {
         ControlThread control = closeAfterTest(new ControlThread(vmName));
-        NodeContext base = FakeNode.context(vmName, incarnation, new FakeControl());
+        NodeContext base = NodeContexts.context(vmName, incarnation, new FakeControl());
         NodeContext context = new NodeContext(base.settings(), incarnation, control, control, base.metrics());
         NettyPeerTransport transport = closeAfterTest(new NettyPeerTransport(context, () -> membership));
         transport.start();
--- a/agatelane-node/src/test/java/io/agatelane/node/io/platform/PlatformClientTest.java
+++ b/agatelane-node/src/test/java/io/agatelane/node/io/platform/PlatformClientTest.java
@@ -14,7 +14,7 @@
 import io.agatelane.node.cfg.Settings;
 import io.agatelane.node.control.ControlThread;
 import io.agatelane.node.fakes.FakeControl;
-import io.agatelane.node.fakes.FakeNode;
+import io.agatelane.node.fakes.NodeContexts;
 import java.nio.charset.StandardCharsets;
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.CompletableFuture;
@@ -163,7 +163,7 @@
     }
 
     static Settings settings(String vmName, String url) {
-        Settings base = FakeNode.settings(vmName);
+        Settings base = NodeContexts.settings(vmName);
         return new Settings(
                 base.vmName(),
                 base.availabilityZone(),
--- a/agatelane-node/src/test/java/io/agatelane/node/io/service/BookingRouter.java
+++ b/agatelane-node/src/test/java/io/agatelane/node/io/service/BookingRouter.java
@@ -1,6 +1,6 @@
 package io.agatelane.node.io.service;
 
-import io.agatelane.core.booking.Answer;
+import io.agatelane.core.booking.ServiceResponse;
 import io.agatelane.core.model.ConfigSnapshot;
 import io.agatelane.core.model.Operation;
 import io.agatelane.core.model.Service;
@@ -10,9 +10,9 @@
 import io.agatelane.node.fakes.FakeConfigView;
 import io.agatelane.node.fakes.FakeControl;
 import io.agatelane.node.fakes.FakeMembership;
-import io.agatelane.node.fakes.FakeNode;
 import io.agatelane.node.fakes.FakePeerNetwork;
 import io.agatelane.node.fakes.FakeRouterControl;
+import io.agatelane.node.fakes.NodeContexts;
 import io.agatelane.wire.peer.PeerFrame;
 import java.util.HashMap;
 import java.util.List;
@@ -30,8 +30,8 @@
     final FakeRouterControl control;
     private final BookingOwner owner;
     private final BookingClient client;
-    private final Function<ServiceRequest, CompletableFuture<Answer>> calls;
-    private final Map<String, CompletableFuture<Answer>> pendingCalls = new HashMap<>();
+    private final Function<ServiceRequest, CompletableFuture<ServiceResponse>> calls;
+    private final Map<String, CompletableFuture<ServiceResponse>> pendingCalls = new HashMap<>();
 
     BookingRouter(
             String name,
@@ -46,7 +46,7 @@
         this.control = new FakeRouterControl(shared);
         FakeConfigView config = new FakeConfigView();
         config.set(ConfigSnapshot.builder().add(SERVICE).build());
-        NodeContext base = FakeNode.context(name, incarnation, shared);
+        NodeContext base = NodeContexts.context(name, incarnation, shared);
         NodeContext context = new NodeContext(base.settings(), incarnation, control, control, base.metrics());
         PeerTransport peers = new ControlledPeers(network.attach(name));
         owner = new BookingOwner(
@@ -64,8 +64,8 @@
     }
 
     /** Runs a call, which fails at once when the router is killed. */
-    CompletableFuture<Answer> call(ServiceRequest request) {
-        CompletableFuture<Answer> result = new CompletableFuture<>();
+    CompletableFuture<ServiceResponse> call(ServiceRequest request) {
+        CompletableFuture<ServiceResponse> result = new CompletableFuture<>();
         pendingCalls.put(request.requestId(), result);
         Completion.then(calls.apply(request), (response, failure) -> {
             pendingCalls.remove(request.requestId());
--- a/agatelane-node/src/test/java/io/agatelane/node/io/service/BookingScenario.java
+++ b/agatelane-node/src/test/java/io/agatelane/node/io/service/BookingScenario.java
@@ -1,7 +1,7 @@
 package io.agatelane.node.io.service;
 
-import io.agatelane.core.booking.Answer;
 import io.agatelane.core.booking.BookingKey;
+import io.agatelane.core.booking.ServiceResponse;
 import io.agatelane.core.failure.AgatelaneException;
 import io.agatelane.core.failure.Executed;
 import io.agatelane.core.failure.FailureType;
@@ -47,8 +47,8 @@
     private final Map<String, BookingRouter> routers = new TreeMap<>();
     private final Map<String, String> lastReplies = new TreeMap<>();
     private boolean faultFree;
-    private final Map<String, Answer> finalResponses = new TreeMap<>();
-    private final BiFunction<BookingRouter, ServiceRequest, CompletableFuture<Answer>> calls;
+    private final Map<String, ServiceResponse> finalResponses = new TreeMap<>();
+    private final BiFunction<BookingRouter, ServiceRequest, CompletableFuture<ServiceResponse>> calls;
     private final List<String> keys = keysOfOnePartition();
     private long nextIncarnation = 1;
     private int nextRequest;
@@ -62,7 +62,8 @@
         proxy.attach(permits);
     }
 
-    private BookingScenario(long seed, BiFunction<BookingRouter, ServiceRequest, CompletableFuture<Answer>> calls) {
+    private BookingScenario(
+            long seed, BiFunction<BookingRouter, ServiceRequest, CompletableFuture<ServiceResponse>> calls) {
         this.random = RandomSource.XO_SHI_RO_256_PP.create(seed);
         this.permits = new FakePermits(control, RandomSource.XO_SHI_RO_256_PP.create(~seed));
         this.uncertainStore = new UncertainStore(store, control, RandomSource.XO_SHI_RO_256_PP.create(seed ^ 1));
@@ -128,11 +129,11 @@
         }
         BookingRouter router = alive.get(random.nextInt(alive.size()));
         String requestId = "r" + nextRequest++;
-        CompletableFuture<Answer> response = calls.apply(router, BookingRouter.request(requestId, key));
+        CompletableFuture<ServiceResponse> response = calls.apply(router, BookingRouter.request(requestId, key));
         // A caller whose connection breaks does not wait for the response.
         boolean disconnects = random.nextInt(6) == 0;
         long callerTimeoutMillis = disconnects ? 5 + random.nextInt(100) : MAX_WAIT_MILLIS;
-        CompletableFuture<Answer> callerResult = new CompletableFuture<>();
+        CompletableFuture<ServiceResponse> callerResult = new CompletableFuture<>();
         Completion.then(response, (value, failure) -> {
             if (failure != null) {
                 callerResult.completeExceptionally(failure);
@@ -149,7 +150,7 @@
         Completion.then(callerResult, (value, failure) -> callEnded(key, requestId, attempt, value, failure));
     }
 
-    private void callEnded(String key, String requestId, int attempt, Answer response, Throwable failure) {
+    private void callEnded(String key, String requestId, int attempt, ServiceResponse response, Throwable failure) {
         if (failure == null) {
             recordReply(key, "answer");
             checkResponse(key, response);
@@ -182,7 +183,7 @@
         }
     }
 
-    private void checkResponse(String key, Answer response) {
+    private void checkResponse(String key, ServiceResponse response) {
         if (!response.equals(permits.responses.get(key))) {
             violations.add("response differs from that of the service: " + key);
         }
@@ -211,7 +212,7 @@
                 store.setOutage(true);
                 control.after(durationMillis, () -> store.setOutage(false));
             }
-            case 3 -> store.loseReplies(1 + random.nextInt(4));
+            case 3 -> store.loseResponses(1 + random.nextInt(4));
             case 4 -> {
                 network.cut(router.name, other.name);
                 control.after(durationMillis, () -> network.heal(router.name, other.name));
@@ -256,7 +257,7 @@
 
     private void endFaults() {
         store.setOutage(false);
-        store.loseReplies(0);
+        store.loseResponses(0);
         permits.faultPercent = 0;
         uncertainStore.uncertainPercent = 0;
         for (String name : List.copyOf(routers.keySet())) {
--- a/agatelane-node/src/test/java/io/agatelane/node/io/service/FakePermits.java
+++ b/agatelane-node/src/test/java/io/agatelane/node/io/service/FakePermits.java
@@ -1,6 +1,6 @@
 package io.agatelane.node.io.service;
 
-import io.agatelane.core.booking.Answer;
+import io.agatelane.core.booking.ServiceResponse;
 import io.agatelane.core.failure.AgatelaneException;
 import io.agatelane.core.failure.FailureType;
 import io.agatelane.node.fakes.FakeControl;
@@ -18,7 +18,7 @@
     private static final int ONE_HUNDRED_PERCENT = 100;
 
     final Map<String, Integer> runs = new HashMap<>();
-    final Map<String, Answer> responses = new HashMap<>();
+    final Map<String, ServiceResponse> responses = new HashMap<>();
     final Set<String> executedRequests = new HashSet<>();
     int faultPercent;
     int responseBytes = 20;
@@ -55,15 +55,15 @@
     }
 
     /** Returns the response of a booking that ran; empty when it did not run or the status call fails. */
-    CompletableFuture<Optional<Answer>> status(String key) {
-        CompletableFuture<Optional<Answer>> result = new CompletableFuture<>();
+    CompletableFuture<Optional<ServiceResponse>> status(String key) {
+        CompletableFuture<Optional<ServiceResponse>> result = new CompletableFuture<>();
         boolean fails = randomFault();
         control.after(2, () -> result.complete(fails ? Optional.empty() : Optional.ofNullable(responses.get(key))));
         return result;
     }
 
-    private CompletableFuture<Answer> send(ServiceRequest call, long timeoutMillis) {
-        CompletableFuture<Answer> result = new CompletableFuture<>();
+    private CompletableFuture<ServiceResponse> send(ServiceRequest call, long timeoutMillis) {
+        CompletableFuture<ServiceResponse> result = new CompletableFuture<>();
         boolean neverArrives = randomFault();
         boolean responseLost = randomFault();
         long arrivesMillis = randomFault() ? timeoutMillis * 2 : 1L + random.nextInt(5);
@@ -77,7 +77,7 @@
             return result;
         }
         control.after(arrivesMillis, () -> {
-            Answer response = execute(call);
+            ServiceResponse response = execute(call);
             control.after(takesMillis, () -> {
                 if (responseLost) {
                     fail(result);
@@ -89,17 +89,17 @@
         return result;
     }
 
-    private Answer execute(ServiceRequest call) {
+    private ServiceResponse execute(ServiceRequest call) {
         String key = call.idempotencyKey();
         int run = runs.merge(key, 1, Integer::sum);
         executedRequests.add(call.requestId());
         String text = key + " run " + run + " " + "x".repeat(responseBytes);
-        Answer response = new Answer(201, "text/plain", text.getBytes(StandardCharsets.UTF_8));
+        ServiceResponse response = new ServiceResponse(201, "text/plain", text.getBytes(StandardCharsets.UTF_8));
         responses.put(key, response);
         return response;
     }
 
-    private static void fail(CompletableFuture<Answer> result) {
+    private static void fail(CompletableFuture<ServiceResponse> result) {
         result.completeExceptionally(new AgatelaneException(FailureType.UPSTREAM_FAILED, "the connection was closed"));
     }
 
--- a/agatelane-node/src/test/java/io/agatelane/node/io/service/HttpRouter.java
+++ b/agatelane-node/src/test/java/io/agatelane/node/io/service/HttpRouter.java
@@ -13,7 +13,7 @@
 import io.agatelane.node.fakes.FakeControl;
 import io.agatelane.node.fakes.FakeKeyValueStore;
 import io.agatelane.node.fakes.FakeMembership;
-import io.agatelane.node.fakes.FakeNode;
+import io.agatelane.node.fakes.NodeContexts;
 import io.agatelane.node.io.http.Authenticator;
 import io.agatelane.node.io.peer.NettyPeerTransport;
 import java.io.IOException;
@@ -61,7 +61,7 @@
             builder.add(new Upstream("permit-" + i, baseUrls[i], "zone-a", List.of(), "permits", 4, false, false));
         }
         config.set(builder.build());
-        NodeContext base = FakeNode.context(vmName, 7, new FakeControl());
+        NodeContext base = NodeContexts.context(vmName, 7, new FakeControl());
         NodeContext context = new NodeContext(base.settings(), 7, control, control, base.metrics());
         peers = new NettyPeerTransport(context, membership);
         traffic = new ServiceTraffic(
--- a/agatelane-node/src/test/java/io/agatelane/node/io/service/NaiveKeyPerBooking.java
+++ b/agatelane-node/src/test/java/io/agatelane/node/io/service/NaiveKeyPerBooking.java
@@ -1,6 +1,6 @@
 package io.agatelane.node.io.service;
 
-import io.agatelane.core.booking.Answer;
+import io.agatelane.core.booking.ServiceResponse;
 import io.agatelane.core.failure.AgatelaneException;
 import io.agatelane.core.failure.FailureType;
 import io.agatelane.node.api.KeyValue;
@@ -22,7 +22,7 @@
         this.permits = permits;
     }
 
-    CompletableFuture<Answer> call(ServiceRequest request) {
+    CompletableFuture<ServiceResponse> call(ServiceRequest request) {
         String key = "naive/" + request.idempotencyKey();
         return store.get(key)
                 .thenCompose(found -> found.isPresent()
@@ -30,7 +30,7 @@
                         : store.compareAndSet(key, 0, CLAIMED).thenCompose(revision -> run(request, key, revision)));
     }
 
-    private CompletableFuture<Answer> run(ServiceRequest request, String key, long revision) {
+    private CompletableFuture<ServiceResponse> run(ServiceRequest request, String key, long revision) {
         Optional<ServiceInstance> instance = permits.choose(request.service().name(), Set.of());
         return permits.connect(instance.orElseThrow())
                 .thenCompose(
@@ -39,19 +39,19 @@
                         store.compareAndSet(key, revision, record(response)).thenApply(written -> response));
     }
 
-    private static byte[] record(Answer response) {
+    private static byte[] record(ServiceResponse response) {
         byte[] value = Arrays.copyOf(new byte[] {1}, 1 + response.body().length);
         System.arraycopy(response.body(), 0, value, 1, response.body().length);
         return value;
     }
 
-    private static CompletableFuture<Answer> recorded(KeyValue value) {
+    private static CompletableFuture<ServiceResponse> recorded(KeyValue value) {
         byte[] bytes = value.value();
         if (bytes[0] == CLAIMED[0]) {
             return CompletableFuture.failedFuture(
                     new AgatelaneException(FailureType.BOOKING_IN_PROGRESS, "another attempt holds the key"));
         }
         return CompletableFuture.completedFuture(
-                new Answer(201, "text/plain", Arrays.copyOfRange(bytes, 1, bytes.length)));
+                new ServiceResponse(201, "text/plain", Arrays.copyOfRange(bytes, 1, bytes.length)));
     }
 }
--- a/agatelane-node/src/test/java/io/agatelane/node/io/service/NaiveProxy.java
+++ b/agatelane-node/src/test/java/io/agatelane/node/io/service/NaiveProxy.java
@@ -1,6 +1,6 @@
 package io.agatelane.node.io.service;
 
-import io.agatelane.core.booking.Answer;
+import io.agatelane.core.booking.ServiceResponse;
 import java.util.HashSet;
 import java.util.concurrent.CompletableFuture;
 
@@ -12,7 +12,7 @@
         this.permits = newPermits;
     }
 
-    CompletableFuture<Answer> call(ServiceRequest request) {
+    CompletableFuture<ServiceResponse> call(ServiceRequest request) {
         ServiceInstance instance =
                 permits.choose(request.service().name(), new HashSet<>()).orElseThrow();
         return permits.connect(instance)
--- a/agatelane-node/src/test/java/io/agatelane/node/io/service/PartitionStoreTest.java
+++ b/agatelane-node/src/test/java/io/agatelane/node/io/service/PartitionStoreTest.java
@@ -4,13 +4,13 @@
 import static org.testng.Assert.assertTrue;
 import static org.testng.Assert.expectThrows;
 
-import io.agatelane.core.booking.Answer;
 import io.agatelane.core.booking.AttemptId;
 import io.agatelane.core.booking.Booking;
 import io.agatelane.core.booking.BookingKey;
 import io.agatelane.core.booking.LoadedPartition;
 import io.agatelane.core.booking.SealedRef;
 import io.agatelane.core.booking.Segment;
+import io.agatelane.core.booking.ServiceResponse;
 import io.agatelane.core.booking.command.Effect;
 import io.agatelane.core.failure.AgatelaneException;
 import io.agatelane.core.failure.FailureType;
@@ -27,7 +27,7 @@
 public class PartitionStoreTest {
     private static final BookingKey KEY = new BookingKey("aargau", "permits", "key-1");
     private static final AttemptId ATTEMPT = new AttemptId("vm-1", 5, 9);
-    private static final Answer RESPONSE = new Answer(201, "text/plain", new byte[] {1, 2, 3});
+    private static final ServiceResponse RESPONSE = new ServiceResponse(201, "text/plain", new byte[] {1, 2, 3});
 
     private FakeKeyValueStore platform;
     private PartitionStore store;
@@ -73,7 +73,7 @@
     /** Guards against long responses that are lost with a response of the store, or outlive the retention time. */
     @Test
     public void longResponsesAreDeletedWithTheirSegment() {
-        platform.loseReplies(1);
+        platform.loseResponses(1);
         store.storeResponse(KEY, ATTEMPT, RESPONSE).join();
         assertEquals(store.loadResponse(KEY, ATTEMPT).join(), Optional.of(RESPONSE));
         Booking storedSeparately = Booking.claimed(KEY, ATTEMPT, "ab12", 77).withFinished(Optional.empty());
--- a/agatelane-node/src/test/java/io/agatelane/node/io/service/PlatformCallsTest.java
+++ b/agatelane-node/src/test/java/io/agatelane/node/io/service/PlatformCallsTest.java
@@ -3,7 +3,7 @@
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
-import io.agatelane.core.booking.Answer;
+import io.agatelane.core.booking.ServiceResponse;
 import io.agatelane.node.api.MemberState;
 import io.agatelane.node.fakes.FakeControl;
 import io.agatelane.node.fakes.FakeKeyValueStore;
@@ -85,7 +85,7 @@
     }
 
     private static Counts count(
-            Fixture fixture, int perSecond, Function<ServiceRequest, CompletableFuture<Answer>> calls) {
+            Fixture fixture, int perSecond, Function<ServiceRequest, CompletableFuture<ServiceResponse>> calls) {
         int before = fixture.calls();
         int afterBookings = send(fixture, perSecond, BOOKINGS, 1, calls) - before;
         int afterRetries = send(fixture, perSecond, BOOKINGS, RETRIES, calls) - before;
@@ -98,8 +98,8 @@
             int perSecond,
             int bookings,
             int times,
-            Function<ServiceRequest, CompletableFuture<Answer>> calls) {
-        List<CompletableFuture<Answer>> responses = new ArrayList<>();
+            Function<ServiceRequest, CompletableFuture<ServiceResponse>> calls) {
+        List<CompletableFuture<ServiceResponse>> responses = new ArrayList<>();
         for (int time = 0; time < times; time++) {
             for (int i = 0; i < bookings; i++) {
                 String key = "key-" + i;
--- a/agatelane-node/src/test/java/io/agatelane/node/io/service/ServiceTrafficTest.java
+++ b/agatelane-node/src/test/java/io/agatelane/node/io/service/ServiceTrafficTest.java
@@ -209,7 +209,7 @@
     @Test
     public void drainRefusesNewRequests() throws Exception {
         book("key-1", "dossier");
-        router.traffic.refuseNew();
+        router.traffic.refuseNewRequests();
         router.traffic.drained().get(10, TimeUnit.SECONDS);
         assertProblem(book("key-2", "dossier"), 503, "no");
         assertEquals(service.runs("key-2"), 0);
